--- a/dunlinnotch/__init__.py
+++ b/dunlinnotch/__init__.py
@@ -20,7 +20,7 @@
     from dunlinnotch.coordination.membership.rows import Membership
     from dunlinnotch.coordination.membership.steering import Steering
     from dunlinnotch.coordination.requests.drain import Drain
-    from dunlinnotch.coordination.requests.once import OnceGuard
+    from dunlinnotch.coordination.requests.once import IdempotencyGuard
     from dunlinnotch.coordination.settings.tree import (
         SettingsEditor,
         SettingsFollower,
@@ -40,8 +40,8 @@
     "Edit",
     "EditResult",
     "EditStatus",
+    "IdempotencyGuard",
     "Membership",
-    "OnceGuard",
     "OnceLedger",
     "Outcome",
     "ProbeBudget",
@@ -69,8 +69,8 @@
     "Edit": "dunlinnotch.state.tree",
     "EditResult": "dunlinnotch.protocol.outcome",
     "EditStatus": "dunlinnotch.protocol.outcome",
+    "IdempotencyGuard": "dunlinnotch.coordination.requests.once",
     "Membership": "dunlinnotch.coordination.membership.rows",
-    "OnceGuard": "dunlinnotch.coordination.requests.once",
     "OnceLedger": "dunlinnotch.state.ledger",
     "Outcome": "dunlinnotch.protocol.outcome",
     "ProbeBudget": "dunlinnotch.coordination.budgets.probes",
--- a/dunlinnotch/coordination/core.py
+++ b/dunlinnotch/coordination/core.py
@@ -18,7 +18,7 @@
 from dunlinnotch.coordination.membership.rows import Membership
 from dunlinnotch.coordination.membership.steering import Steering
 from dunlinnotch.coordination.requests.drain import Drain
-from dunlinnotch.coordination.requests.once import OnceGuard
+from dunlinnotch.coordination.requests.once import IdempotencyGuard
 from dunlinnotch.coordination.requests.router import Router
 from dunlinnotch.coordination.settings.gate import WorkGate
 from dunlinnotch.coordination.settings.tree import SettingsEditor, SettingsFollower, SettingsHolder
@@ -153,7 +153,9 @@
             holder=self.holder,
             pools=self.directory,
             gate=self.gate,
-            once=OnceGuard(self.ledger, box=self.name, incarnation=row.incarnation, clock=clock),
+            once=IdempotencyGuard(
+                self.ledger, box=self.name, incarnation=row.incarnation, clock=clock
+            ),
             transport=transport,
             observer=observer,
             clock=clock,
--- a/dunlinnotch/coordination/requests/once.py
+++ b/dunlinnotch/coordination/requests/once.py
@@ -28,7 +28,7 @@
 _RETRY_AFTER_S = 1.0
 
 
-class OnceGuard:
+class IdempotencyGuard:
     """Check once-keys and answer repeats from the ledger.
 
     Parameters
--- a/dunlinnotch/coordination/requests/router.py
+++ b/dunlinnotch/coordination/requests/router.py
@@ -28,7 +28,7 @@
     from dunlinnotch.coordination.choosing.least_load import Choice
     from dunlinnotch.coordination.choosing.limits import Grant
     from dunlinnotch.coordination.choosing.pool import ServicePool
-    from dunlinnotch.coordination.requests.once import OnceGuard
+    from dunlinnotch.coordination.requests.once import IdempotencyGuard
     from dunlinnotch.coordination.settings.gate import WorkGate
     from dunlinnotch.coordination.settings.tree import SettingsHolder
     from dunlinnotch.protocol.attempt import (
@@ -106,7 +106,7 @@
     holder : SettingsHolder
     pools : PoolDirectory
     gate : WorkGate
-    once : OnceGuard
+    once : IdempotencyGuard
     transport : TargetTransport
     observer : CallObserver
     clock : callable
@@ -119,7 +119,7 @@
         holder: SettingsHolder,
         pools: PoolDirectory,
         gate: WorkGate,
-        once: OnceGuard,
+        once: IdempotencyGuard,
         transport: TargetTransport,
         observer: CallObserver,
         clock: Clock,
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -456,7 +456,9 @@
         "parse_once_key",
         _anybodys_key,
     ),
-    Mutant("say not run of an earlier copy", once.OnceGuard, "may_have_run", _never_ran_before),
+    Mutant(
+        "say not run of an earlier copy", once.IdempotencyGuard, "may_have_run", _never_ran_before
+    ),
     Mutant("accept without the silent boxes", Membership, "missing", _own_word_only),
     Mutant(
         "serve while cut off",
