--- a/dunlinnotch/__init__.py
+++ b/dunlinnotch/__init__.py
@@ -20,7 +20,7 @@
     from dunlinnotch.coordination.membership.rows import Membership
     from dunlinnotch.coordination.membership.steering import Steering
     from dunlinnotch.coordination.requests.drain import Drain
-    from dunlinnotch.coordination.requests.once import IdempotencyGuard
+    from dunlinnotch.coordination.requests.idempotency import IdempotencyGuard
     from dunlinnotch.coordination.settings.tree import (
         SettingsEditor,
         SettingsFollower,
@@ -69,7 +69,7 @@
     "Edit": "dunlinnotch.state.tree",
     "EditResult": "dunlinnotch.protocol.outcome",
     "EditStatus": "dunlinnotch.protocol.outcome",
-    "IdempotencyGuard": "dunlinnotch.coordination.requests.once",
+    "IdempotencyGuard": "dunlinnotch.coordination.requests.idempotency",
     "Membership": "dunlinnotch.coordination.membership.rows",
     "OnceLedger": "dunlinnotch.state.ledger",
     "Outcome": "dunlinnotch.protocol.outcome",
--- a/dunlinnotch/coordination/core.py
+++ b/dunlinnotch/coordination/core.py
@@ -18,7 +18,7 @@
 from dunlinnotch.coordination.membership.rows import Membership
 from dunlinnotch.coordination.membership.steering import Steering
 from dunlinnotch.coordination.requests.drain import Drain
-from dunlinnotch.coordination.requests.once import IdempotencyGuard
+from dunlinnotch.coordination.requests.idempotency import IdempotencyGuard
 from dunlinnotch.coordination.requests.router import Router
 from dunlinnotch.coordination.settings.gate import WorkGate
 from dunlinnotch.coordination.settings.tree import SettingsEditor, SettingsFollower, SettingsHolder
--- a/dunlinnotch/coordination/requests/router.py
+++ b/dunlinnotch/coordination/requests/router.py
@@ -28,7 +28,7 @@
     from dunlinnotch.coordination.choosing.least_load import Choice
     from dunlinnotch.coordination.choosing.limits import Grant
     from dunlinnotch.coordination.choosing.pool import ServicePool
-    from dunlinnotch.coordination.requests.once import IdempotencyGuard
+    from dunlinnotch.coordination.requests.idempotency import IdempotencyGuard
     from dunlinnotch.coordination.settings.gate import WorkGate
     from dunlinnotch.coordination.settings.tree import SettingsHolder
     from dunlinnotch.protocol.attempt import (
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -26,7 +26,7 @@
 from dunlinnotch.coordination.membership.mesh import STALE_S, Mesh
 from dunlinnotch.coordination.membership.rows import Membership
 from dunlinnotch.coordination.membership.wake import WakeWatch
-from dunlinnotch.coordination.requests import once
+from dunlinnotch.coordination.requests import idempotency
 from dunlinnotch.coordination.requests.crash_guard import CrashGuard
 from dunlinnotch.coordination.requests.drain import Drain
 from dunlinnotch.coordination.requests.forward import Forwarder
@@ -452,12 +452,15 @@
     Mutant("forget once-keys", OnceLedger, "claim", _claim_always),
     Mutant(
         "run a key of another box",
-        once,
+        idempotency,
         "parse_once_key",
         _anybodys_key,
     ),
     Mutant(
-        "say not run of an earlier copy", once.IdempotencyGuard, "may_have_run", _never_ran_before
+        "say not run of an earlier copy",
+        idempotency.IdempotencyGuard,
+        "may_have_run",
+        _never_ran_before,
     ),
     Mutant("accept without the silent boxes", Membership, "missing", _own_word_only),
     Mutant(
