--- a/dunlinnotch/coordination/requests/crash_guard.py
+++ b/dunlinnotch/coordination/requests/crash_guard.py
@@ -20,7 +20,7 @@
 _log = logging.getLogger(__name__)
 
 
-class Suspect:
+class TrackedRequest:
     """One request under way, with the targets that ended under it.
 
     Parameters
@@ -59,22 +59,22 @@
         self._tell = tell
         self.targets_ended = 0
 
-    def barred_for(self, suspect: Suspect) -> Seconds:
+    def barred_for(self, tracked: TrackedRequest) -> Seconds:
         """Return how long a request is to be sent to no target; 0 if it may be sent."""
-        if not suspect.ended:
-            return max(self._evidence.barred_for(key) for key in suspect.fingerprint)
+        if not tracked.ended:
+            return max(self._evidence.barred_for(key) for key in tracked.fingerprint)
         now = self._evidence.now
-        known = [self._evidence.with_ended(key, suspect.ended) for key in suspect.fingerprint]
+        known = [self._evidence.with_ended(key, tracked.ended) for key in tracked.fingerprint]
         return max(evidence.barred_for(now) for evidence in known)
 
     async def look(
-        self, suspect: Suspect, request: CallerRequest, instance: Instance, *, took: Seconds
+        self, tracked: TrackedRequest, request: CallerRequest, instance: Instance, *, took: Seconds
     ) -> None:
         """Note if a target that broke off a request has ended.
 
         Parameters
         ----------
-        suspect : Suspect
+        tracked : TrackedRequest
         request : CallerRequest
         instance : Instance
         took : float
@@ -83,7 +83,7 @@
         ended = self._evidence.now
         if not await self._targets.has_ended(instance.address):
             return
-        suspect.ended[instance.start] = Span(ended - took, ended)
+        tracked.ended[instance.start] = Span(ended - took, ended)
         self.targets_ended += 1
         event(
             _log,
@@ -92,11 +92,11 @@
             service=instance.listed.service,
             target=instance.address,
             request=request.request_id,
-            content=suspect.fingerprint.content,
-            origin=suspect.fingerprint.origin,
+            content=tracked.fingerprint.content,
+            origin=tracked.fingerprint.origin,
         )
 
-    def finished(self, suspect: Suspect, *, answered: bool) -> None:
+    def finished(self, tracked: TrackedRequest, *, answered: bool) -> None:
         """Take in the end of a request, and tell others what they should know of it.
 
         Notes
@@ -107,7 +107,7 @@
         request), 35 were answered by their second.
         """
         ends = [
-            self._note_end(key, suspect.ended, answered=answered) for key in suspect.fingerprint
+            self._note_end(key, tracked.ended, answered=answered) for key in tracked.fingerprint
         ]
         new = [evidence for evidence in ends if evidence is not None]
         if new:
--- a/dunlinnotch/coordination/requests/forward.py
+++ b/dunlinnotch/coordination/requests/forward.py
@@ -16,7 +16,7 @@
 from dunlinnotch._logs import event
 from dunlinnotch.coordination.choosing.fresh import GOOD
 from dunlinnotch.coordination.requests.bodies import HeldBody
-from dunlinnotch.coordination.requests.crash_guard import Suspect
+from dunlinnotch.coordination.requests.crash_guard import TrackedRequest
 from dunlinnotch.coordination.requests.fingerprint import fingerprint
 from dunlinnotch.coordination.requests.first_tries import FirstTries
 from dunlinnotch.coordination.requests.run import Ending, Run, Try
@@ -170,7 +170,7 @@
 
     def _end(self, run: Run, ending: Ending) -> None:
         answered = ending.outcome is Outcome.ANSWERED and ending.status < 500
-        self._guard.finished(run.suspect, answered=answered)
+        self._guard.finished(run.tracked, answered=answered)
         took = self._loop.time() - run.request.arrived
         kind = "" if run.kind is None else run.kind.name
         self._observer.request_ended(kind, ending, took, run.sends)
@@ -192,7 +192,7 @@
         try:
             async with asyncio.timeout_at(until) as run.scope:
                 await run.body.hold(_HOLD)
-                run.suspect = Suspect(fingerprint(request, run.body.held))
+                run.tracked = TrackedRequest(fingerprint(request, run.body.held))
                 ending = await self._attempts(run)
         except TimeoutError:
             if ending is None:
@@ -293,7 +293,7 @@
 
     def _barred(self, run: Run) -> Ending | None:
         """Return the refusal of a request under which targets ended, here or elsewhere."""
-        wait = self._guard.barred_for(run.suspect)
+        wait = self._guard.barred_for(run.tracked)
         if not wait:
             return None
         detail = "targets ended under this request each time it was run"
@@ -390,7 +390,7 @@
     async def _look_for_end(self, run: Run, instance: Instance) -> None:
         """Have the guard note it if the target of the last try has ended."""
         took = self._loop.time() - run.tries[-1].began
-        await self._guard.look(run.suspect, run.request, instance, took=took)
+        await self._guard.look(run.tracked, run.request, instance, took=took)
 
     async def _relay(
         self, run: Run, kind: RequestKind, instance: Instance, answered: Answered
--- a/dunlinnotch/coordination/requests/run.py
+++ b/dunlinnotch/coordination/requests/run.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from dunlinnotch._logs import event
-from dunlinnotch.coordination.requests.crash_guard import Suspect
+from dunlinnotch.coordination.requests.crash_guard import TrackedRequest
 from dunlinnotch.coordination.requests.fingerprint import Fingerprint
 from dunlinnotch.state.target_status import TargetStatus
 
@@ -94,7 +94,7 @@
     reply: ReplyPort
     point: float
     first_try: Seconds
-    suspect: Suspect = field(default_factory=lambda: Suspect(Fingerprint("", "")))
+    tracked: TrackedRequest = field(default_factory=lambda: TrackedRequest(Fingerprint("", "")))
     kind: RequestKind | None = None
     service: str = ""
     version: int = 0
@@ -119,8 +119,8 @@
             "route",
             request=request.request_id,
             caller=request.caller,
-            content=self.suspect.fingerprint.content,
-            origin=self.suspect.fingerprint.origin,
+            content=self.tracked.fingerprint.content,
+            origin=self.tracked.fingerprint.origin,
             kind="" if kind is None else kind.name,
             service=self.service,
             version=self.version,
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -265,7 +265,7 @@
     return True
 
 
-def _bar_nothing(self, suspect):
+def _bar_nothing(self, tracked):
     return 0.0
 
 
--- a/tests/test_crash_guard.py
+++ b/tests/test_crash_guard.py
@@ -7,7 +7,7 @@
 import pytest
 
 from benchmarks._boxes import Clock
-from dunlinnotch.coordination.requests.crash_guard import CrashGuard, Suspect
+from dunlinnotch.coordination.requests.crash_guard import CrashGuard, TrackedRequest
 from dunlinnotch.coordination.requests.fingerprint import Fingerprint
 from dunlinnotch.protocol.relay import CallerRequest
 from dunlinnotch.standins.users.worker import WorkerSettings
@@ -44,20 +44,20 @@
     return Instance(ListedTarget(name, "s", "hall-a", name, 3, False, 1, 0.0))
 
 
-def look(crash_guard, suspect, *names):
+def look(crash_guard, tracked, *names):
     """Have some targets break off a request, one after the other."""
     for name in names:
         crash_guard.clock.now += 1
-        asyncio.run(crash_guard.look(suspect, REQUEST, instance(name), took=0.5))
+        asyncio.run(crash_guard.look(tracked, REQUEST, instance(name), took=0.5))
 
 
 def test_a_target_that_only_broke_off_an_answer_is_nothing_against_a_request():
     crash_guard, log, told = guard("a", "b")
-    suspect = Suspect(WORST_KNOWN)
-    look(crash_guard, suspect, "a", "b", "c", "d")
-    crash_guard.finished(suspect, answered=False)
+    tracked = TrackedRequest(WORST_KNOWN)
+    look(crash_guard, tracked, "a", "b", "c", "d")
+    crash_guard.finished(tracked, answered=False)
     assert set(log.find("f").targets) == {"a", "b"}
-    assert crash_guard.barred_for(suspect) == 0
+    assert crash_guard.barred_for(tracked) == 0
     assert crash_guard.targets_ended == 2
     assert [evidence.request for evidence in told] == ["f", "o"]
 
@@ -65,19 +65,19 @@
 def test_targets_of_the_request_under_way_count_with_those_known():
     crash_guard, log, _ = guard("a", "b", "c")
     log.note_ended("f", targets(1))
-    suspect = Suspect(WORST_KNOWN)
-    look(crash_guard, suspect, "a")
-    assert crash_guard.barred_for(suspect) == 0
-    look(crash_guard, suspect, "b")
-    assert crash_guard.barred_for(suspect) > 0
+    tracked = TrackedRequest(WORST_KNOWN)
+    look(crash_guard, tracked, "a")
+    assert crash_guard.barred_for(tracked) == 0
+    look(crash_guard, tracked, "b")
+    assert crash_guard.barred_for(tracked) > 0
     assert log.barred_for("f") == 0
 
 
 def test_a_request_that_was_at_the_wrong_target_and_is_answered_is_told_of_to_nobody():
     crash_guard, log, told = guard("a")
-    suspect = Suspect(WORST_KNOWN)
-    look(crash_guard, suspect, "a")
-    crash_guard.finished(suspect, answered=True)
+    tracked = TrackedRequest(WORST_KNOWN)
+    look(crash_guard, tracked, "a")
+    crash_guard.finished(tracked, answered=True)
     assert told == []
     assert len(log) == 0
 
@@ -85,7 +85,7 @@
 def test_an_answer_takes_back_what_others_told():
     crash_guard, log, told = guard()
     log.note_ended("f", targets(BAR_AT - 1))
-    crash_guard.finished(Suspect(WORST_KNOWN), answered=True)
+    crash_guard.finished(TrackedRequest(WORST_KNOWN), answered=True)
     assert [evidence.answers for evidence in told] == [1]
     assert log.find("f").targets == {}
 
@@ -93,13 +93,13 @@
 def test_a_caller_s_other_queries_clear_its_path_but_not_the_query_that_ends_targets():
     crash_guard, log, _ = guard("a", "b", "c")
     for target in "abc":
-        suspect = Suspect(Fingerprint("worst query", "path"))
-        look(crash_guard, suspect, target)
-        crash_guard.finished(suspect, answered=False)
-        crash_guard.finished(Suspect(Fingerprint(f"query {target}", "path")), answered=True)
+        tracked = TrackedRequest(Fingerprint("worst query", "path"))
+        look(crash_guard, tracked, target)
+        crash_guard.finished(tracked, answered=False)
+        crash_guard.finished(TrackedRequest(Fingerprint(f"query {target}", "path")), answered=True)
     assert log.barred_for("worst query") > 0
     assert log.barred_for("path") == 0
-    assert crash_guard.barred_for(Suspect(Fingerprint("another query", "path"))) == 0
+    assert crash_guard.barred_for(TrackedRequest(Fingerprint("another query", "path"))) == 0
 
 
 @pytest.mark.parametrize("boxes", [1, 3])
