--- a/dunlinnotch/coordination/requests/first_tries.py
+++ b/dunlinnotch/coordination/requests/first_attempts.py
@@ -41,7 +41,7 @@
         return max((step for step, count in counts.items() if count >= least), default=0)
 
 
-class FirstTries:
+class FirstAttempts:
     """What the first tries of each kind state as the time that their callers wait.
 
     Notes
@@ -54,7 +54,7 @@
     def __init__(self) -> None:
         self._stated: dict[str, _Stated] = {}
 
-    def asking_for(self, kind: str, left: Seconds) -> Seconds:
+    def elapsed_since_first(self, kind: str, left: Seconds) -> Seconds:
         """Return for how long a caller has been asking.
 
         Parameters
--- a/dunlinnotch/coordination/requests/forward.py
+++ b/dunlinnotch/coordination/requests/forward.py
@@ -18,7 +18,7 @@
 from dunlinnotch.coordination.requests.bodies import HeldBody
 from dunlinnotch.coordination.requests.crash_guard import TrackedRequest
 from dunlinnotch.coordination.requests.fingerprint import fingerprint
-from dunlinnotch.coordination.requests.first_tries import FirstTries
+from dunlinnotch.coordination.requests.first_attempts import FirstAttempts
 from dunlinnotch.coordination.requests.run import Ending, Run, Try
 from dunlinnotch.protocol.attempt import BodyCutError, CallerGoneError
 from dunlinnotch.protocol.outcome import Outcome, Reason
@@ -116,7 +116,7 @@
         self._loop = asyncio.get_running_loop()
         self._repeats: dict[str, RepeatShare] = {}
         self._points: dict[str, float] = {}
-        self._first_tries = FirstTries()
+        self._first_attempts = FirstAttempts()
         self._running: set[Run] = set()
 
     @property
@@ -150,7 +150,7 @@
 
     def keep_only(self, kinds: set[str]) -> None:
         """Forget kinds that are no more."""
-        self._first_tries.keep_only(kinds)
+        self._first_attempts.keep_only(kinds)
 
     async def serve(
         self, request: CallerRequest, parts: AsyncIterator[bytes], reply: ReplyPort
@@ -186,7 +186,7 @@
         assert run.kind is not None
         run.point = self._next_point(run.kind)
         left = request.deadline - request.arrived
-        run.first_try -= self._first_tries.asking_for(run.kind.name, left)
+        run.first_try -= self._first_attempts.elapsed_since_first(run.kind.name, left)
         until = min(request.deadline, request.arrived + run.kind.timeout)
         ending: Ending | None = None
         try:
