--- a/dunlinnotch/coordination/settings/beliefs.py
+++ b/dunlinnotch/coordination/settings/beliefs.py
@@ -34,7 +34,7 @@
 _log = logging.getLogger(__name__)
 
 
-class RoutesInForce:
+class ActiveRoutes:
     """The route table in force on this box; it only moves to a higher version.
 
     Parameters
@@ -113,7 +113,7 @@
         self._on_change(table)
 
 
-class TargetsListed:
+class TargetListing:
     """The targets that the platform lists.
 
     Parameters
--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -21,7 +21,7 @@
 from dunlinnotch.coordination.membership.wake import WakeWatch
 from dunlinnotch.coordination.requests.crash_guard import CrashGuard
 from dunlinnotch.coordination.requests.forward import Forwarder
-from dunlinnotch.coordination.settings.beliefs import RoutesInForce, TargetsListed
+from dunlinnotch.coordination.settings.beliefs import ActiveRoutes, TargetListing
 from dunlinnotch.coordination.settings.following import TableFollower
 from dunlinnotch.daemon.figures import Figures
 from dunlinnotch.daemon.gossip import Gossip
@@ -145,10 +145,10 @@
         clock = self._loop.time
         self._dropped_lines = dropped_lines
         self.instances = InstanceList()
-        self.routes = RoutesInForce(
+        self.routes = ActiveRoutes(
             adapter.read_settings, key=adapter.settings_key, on_change=self._on_routes
         )
-        self._listed = TargetsListed(adapter.read_target, self.instances, clock=clock)
+        self._listed = TargetListing(adapter.read_target, self.instances, clock=clock)
         self._settings_rows = FollowedTable(adapter.settings_table, self.routes.take)
         self._target_rows = FollowedTable(adapter.targets_table, self._take_targets)
         self.tables = {t.name: t for t in (self._settings_rows, self._target_rows)}
--- a/dunlinnotch/daemon/gossip.py
+++ b/dunlinnotch/daemon/gossip.py
@@ -16,7 +16,7 @@
 
     from dunlinnotch.coordination.membership.crash_news import CrashNews
     from dunlinnotch.coordination.membership.mesh import Mesh
-    from dunlinnotch.coordination.settings.beliefs import RoutesInForce
+    from dunlinnotch.coordination.settings.beliefs import ActiveRoutes
     from dunlinnotch.coordination.settings.following import TableFollower
     from dunlinnotch.protocol.crashes import SeenCrashes
     from dunlinnotch.protocol.mesh import BoxWord
@@ -50,7 +50,7 @@
     mesh : Mesh
     tables : sequence of FollowedTable
         What a peer may lack, or have further than this box.
-    routes : RoutesInForce
+    routes : ActiveRoutes
     settings_table : str
         The one of the tables that holds the settings.
     seeds : callable
@@ -64,7 +64,7 @@
         self,
         mesh: Mesh,
         tables: Sequence[FollowedTable],
-        routes: RoutesInForce,
+        routes: ActiveRoutes,
         *,
         settings_table: str,
         seeds: Callable[[], Sequence[Address]],
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -32,7 +32,7 @@
 from dunlinnotch.coordination.requests.forward import Forwarder
 from dunlinnotch.coordination.requests.router import Router
 from dunlinnotch.coordination.settings import tree as settings
-from dunlinnotch.coordination.settings.beliefs import RoutesInForce, TargetsListed
+from dunlinnotch.coordination.settings.beliefs import ActiveRoutes, TargetListing
 from dunlinnotch.coordination.settings.following import TableFollower
 from dunlinnotch.coordination.settings.gate import WorkGate
 from dunlinnotch.daemon.entry import EntryBox
@@ -366,14 +366,14 @@
     ),
     Mutant(
         "go back to older settings",
-        RoutesInForce,
+        ActiveRoutes,
         "_take_document",
         _any_version,
         "tests/test_beliefs.py",
     ),
     Mutant(
         "keep a row that vanished alone",
-        TargetsListed,
+        TargetListing,
         "_many",
         _keep_lapsed,
         "tests/test_beliefs.py",
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dunlinnotch.coordination.settings.beliefs import LAPSE_S, RoutesInForce, TargetsListed
+from dunlinnotch.coordination.settings.beliefs import LAPSE_S, ActiveRoutes, TargetListing
 from dunlinnotch.errors import SettingsError
 from dunlinnotch.state.followed import TableDelta, TableRow
 from dunlinnotch.state.instances import InstanceList, ListedTarget
@@ -25,7 +25,7 @@
 def listed(count):
     clock = Clock()
     instances = InstanceList()
-    targets = TargetsListed(read, instances, clock=clock)
+    targets = TargetListing(read, instances, clock=clock)
     targets.take([TableRow(str(n), n, b"1") for n in range(1, count + 1)])
     return clock, instances, targets
 
@@ -101,7 +101,7 @@
             raise SettingsError("bad")
         return table(int(data))
 
-    routes = RoutesInForce(parse, key="config", on_change=lambda t: put.append(t.version))
+    routes = ActiveRoutes(parse, key="config", on_change=lambda t: put.append(t.version))
     for number, value in enumerate([b"3", b"bad", b"2", b"3", b"7", b"5"]):
         routes.take([TableRow("config", number, value), TableRow("other", number, b"9")])
     routes.take([TableRow("config", 99, None)])
@@ -110,7 +110,7 @@
 
 
 def test_a_peer_is_told_the_settings_in_force_where_the_store_holds_older_ones():
-    routes = RoutesInForce(lambda data: table(int(data)), key="config", on_change=lambda _: None)
+    routes = ActiveRoutes(lambda data: table(int(data)), key="config", on_change=lambda _: None)
     other = TableRow("other", 2, b"x")
     old = TableDelta("op", 5, True, (TableRow("config", 3, b"21"), other), 5, 2)
     assert routes.told(old) == old
@@ -134,7 +134,7 @@
 
 def started(*rows):
     instances = InstanceList()
-    targets = TargetsListed(read_start, instances, clock=Clock())
+    targets = TargetListing(read_start, instances, clock=Clock())
     targets.take([TableRow(key, n, value) for n, (key, value) in enumerate(rows)])
     return instances, targets
 
