--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -21,8 +21,8 @@
 from dunlinnotch.coordination.membership.wake import WakeWatch
 from dunlinnotch.coordination.requests.crash_guard import CrashGuard
 from dunlinnotch.coordination.requests.forward import Forwarder
-from dunlinnotch.coordination.settings.beliefs import ActiveRoutes, TargetListing
 from dunlinnotch.coordination.settings.following import TableFollower
+from dunlinnotch.coordination.settings.store_tables import ActiveRoutes, TargetListing
 from dunlinnotch.daemon.figures import Figures
 from dunlinnotch.daemon.gossip import Gossip
 from dunlinnotch.daemon.stop import StopPlan
--- a/dunlinnotch/daemon/gossip.py
+++ b/dunlinnotch/daemon/gossip.py
@@ -16,8 +16,8 @@
 
     from dunlinnotch.coordination.membership.crash_news import CrashNews
     from dunlinnotch.coordination.membership.mesh import Mesh
-    from dunlinnotch.coordination.settings.beliefs import ActiveRoutes
     from dunlinnotch.coordination.settings.following import TableFollower
+    from dunlinnotch.coordination.settings.store_tables import ActiveRoutes
     from dunlinnotch.protocol.crashes import SeenCrashes
     from dunlinnotch.protocol.mesh import BoxWord
     from dunlinnotch.state.followed import FollowedTable, TableDelta
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -32,9 +32,9 @@
 from dunlinnotch.coordination.requests.forward import Forwarder
 from dunlinnotch.coordination.requests.router import Router
 from dunlinnotch.coordination.settings import tree as settings
-from dunlinnotch.coordination.settings.beliefs import ActiveRoutes, TargetListing
 from dunlinnotch.coordination.settings.following import TableFollower
 from dunlinnotch.coordination.settings.gate import WorkGate
+from dunlinnotch.coordination.settings.store_tables import ActiveRoutes, TargetListing
 from dunlinnotch.daemon.entry import EntryBox
 from dunlinnotch.platform.dialect import WorkerDialect
 from dunlinnotch.protocol.answers import OnceKey, parse_once_key
@@ -369,14 +369,14 @@
         ActiveRoutes,
         "_take_document",
         _any_version,
-        "tests/test_beliefs.py",
+        "tests/test_store_tables.py",
     ),
     Mutant(
         "keep a row that vanished alone",
         TargetListing,
         "_many",
         _keep_lapsed,
-        "tests/test_beliefs.py",
+        "tests/test_store_tables.py",
     ),
     Mutant("probe without a budget", ProbeShare, "take", _spend_freely, SHARES),
     Mutant("repeat without a budget", RepeatShare, "take", _spend_freely, SHARES),
--- a/tests/test_beliefs.py
+++ b/tests/test_store_tables.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from dunlinnotch.coordination.settings.beliefs import LAPSE_S, ActiveRoutes, TargetListing
+from dunlinnotch.coordination.settings.store_tables import LAPSE_S, ActiveRoutes, TargetListing
 from dunlinnotch.errors import SettingsError
 from dunlinnotch.state.followed import TableDelta, TableRow
 from dunlinnotch.state.instances import InstanceList, ListedTarget
