--- a/benchmarks/goodput.py
+++ b/benchmarks/goodput.py
@@ -323,13 +323,13 @@
         table = self._table()
         forwarder = Forwarder(
             routes=lambda: table,
-            age=lambda: 0.0,
+            settings_age=lambda: 0.0,
             catching_up=lambda: False,
             instances=instances,
             chooser=chooser,
             times=times,
-            seeker=seeker,
-            make_repeats=lambda: RepeatShare(ratio=0.2, slack=62, window=10, clock=clock),
+            selector=seeker,
+            make_retry_share=lambda: RepeatShare(ratio=0.2, slack=62, window=10, clock=clock),
             guard=CrashGuard(CrashLog(clock=clock), targets, tell=lambda _: None),
             targets=targets,
             observer=NoObserver(),
--- a/dunlinnotch/coordination/requests/forward.py
+++ b/dunlinnotch/coordination/requests/forward.py
@@ -69,15 +69,15 @@
     ----------
     routes : callable
         Returns the route table in force, or None while none is known.
-    age : callable
+    settings_age : callable
         Returns the seconds since the settings were last known to be the newest.
     catching_up : callable
         Returns whether the box stood still and does not know yet what has changed.
     instances : InstanceList
     chooser : FreshChooser
     times : WorkTimes
-    seeker : TargetSeeker
-    make_repeats : callable
+    selector : TargetSeeker
+    make_retry_share : callable
         Makes the repeat budget of a service.
     guard : CrashGuard
     targets : TargetPort
@@ -89,32 +89,32 @@
         self,
         *,
         routes: Callable[[], RouteTable | None],
-        age: Callable[[], Seconds],
+        settings_age: Callable[[], Seconds],
         catching_up: Callable[[], bool],
         instances: InstanceList,
         chooser: FreshChooser,
         times: WorkTimes,
-        seeker: TargetSeeker,
-        make_repeats: Callable[[], RepeatShare],
+        selector: TargetSeeker,
+        make_retry_share: Callable[[], RepeatShare],
         guard: CrashGuard,
         targets: TargetPort,
         observer: ForwardObserver,
         rng: random.Random,
     ) -> None:
         self._routes = routes
-        self._age = age
+        self._settings_age = settings_age
         self._catching_up = catching_up
         self._instances = instances
         self._chooser = chooser
         self._times = times
-        self._seeker = seeker
-        self._make_repeats = make_repeats
+        self._selector = selector
+        self._make_retry_share = make_retry_share
         self._guard = guard
         self._targets = targets
         self._observer = observer
         self._rng = rng
         self._loop = asyncio.get_running_loop()
-        self._repeats: dict[str, RepeatShare] = {}
+        self._retry_shares: dict[str, RepeatShare] = {}
         self._points: dict[str, float] = {}
         self._first_attempts = FirstAttempts()
         self._running: set[Run] = set()
@@ -124,28 +124,28 @@
         """Requests under way."""
         return len(self._running)
 
-    def give_up_all(self) -> None:
+    def cancel_all(self) -> None:
         """Give each request under way its final answer now: the box ends."""
         for run in self._running:
             run.stopping = True
             if run.scope is not None:
                 run.scope.reschedule(self._loop.time())
 
-    def repeats(self, service: str) -> RepeatShare:
+    def retry_share(self, service: str) -> RepeatShare:
         """Return the repeat budget of a service."""
-        found = self._repeats.get(service)
+        found = self._retry_shares.get(service)
         if found is None:
-            found = self._repeats[service] = self._make_repeats()
+            found = self._retry_shares[service] = self._make_retry_share()
         return found
 
-    def change_repeats(self, *, ratio: float, slack: float, window: Seconds) -> None:
+    def configure_retry_shares(self, *, ratio: float, slack: float, window: Seconds) -> None:
         """Change the budget of repeats; what was spent still counts."""
-        for share in self._repeats.values():
+        for share in self._retry_shares.values():
             share.ratio, share.slack, share.window = ratio, slack, window
 
     def set_boxes(self, boxes: int) -> None:
         """Set by how many boxes the budget of repeats is shared."""
-        for share in self._repeats.values():
+        for share in self._retry_shares.values():
             share.boxes = boxes
 
     def keep_only(self, kinds: set[str]) -> None:
@@ -174,7 +174,7 @@
         took = self._loop.time() - run.request.arrived
         kind = "" if run.kind is None else run.kind.name
         self._observer.request_ended(kind, ending, took, run.sends)
-        run.log(ending, took=took, settings_age=self._age())
+        run.log(ending, took=took, settings_age=self._settings_age())
 
     # -- matching, time and refusals
 
@@ -255,7 +255,7 @@
         """Return after how long a refused caller may come back."""
         if ending.retry_after is not None:
             return ending.retry_after
-        rest = self._seeker.rest_left(run.service)
+        rest = self._selector.rest_left(run.service)
         unknowing = ending.reason in (Reason.NO_SETTINGS, Reason.CATCHING_UP)
         wait = _COME_BACK_UNKNOWING_S if unknowing else _COME_BACK_S
         if run.kind is not None:
@@ -275,19 +275,19 @@
             service = run.service = kind.service_at(run.point)
             if not run.counted:
                 run.counted = True
-                self.repeats(service).request()
+                self.retry_share(service).request()
             pick = await self._choose(run, kind, service)
             if pick is None:
                 return last or self._nobody(run, service)
             if not self._still(run, pick):
-                self._seeker.release(pick)
+                self._selector.release(pick)
                 continue
-            if run.sends and not self.repeats(service).take():
-                self._seeker.release(pick)
+            if run.sends and not self.retry_share(service).take():
+                self._selector.release(pick)
                 return last or self._nobody(run, service)
             end = await self._attempt(run, kind, pick)
             settled = await self._settle(run, kind, pick.instance, end)
-            if settled.outcome is Outcome.ANSWERED or not self._may_repeat(run, kind, settled):
+            if settled.outcome is Outcome.ANSWERED or not self._may_retry(run, kind, settled):
                 return settled
             last = settled
 
@@ -316,12 +316,12 @@
         if not self._instances.of(service):
             detail = f"service {service!r} has no target"
             return Ending(Outcome.NOT_RUN, 503, Reason.NO_TARGET, detail)
-        if self._seeker.rest_left(service):
+        if self._selector.rest_left(service):
             detail = f"all targets of service {service!r} want rest"
             return Ending(Outcome.NOT_RUN, 503, Reason.TARGETS_RESTING, detail)
         return Ending(Outcome.NOT_RUN, 503, Reason.QUEUE_FULL, "no target is free in time")
 
-    def _may_repeat(self, run: Run, kind: RequestKind, ended: Ending) -> bool:
+    def _may_retry(self, run: Run, kind: RequestKind, ended: Ending) -> bool:
         if run.reply.begun or run.sends >= kind.attempts or not run.body.resendable:
             return False
         return kind.repeatable or not run.may_have_run
@@ -360,7 +360,7 @@
     def _hear(self, trial: Try, status: TargetStatus) -> None:
         """Take in what a target says of itself beside its answer."""
         trial.said = status
-        self._seeker.heard(trial.pick.instance, status)
+        self._selector.heard(trial.pick.instance, status)
 
     async def _settle(
         self, run: Run, kind: RequestKind, instance: Instance, end: AttemptEnd
@@ -403,7 +403,7 @@
             whole = await answer.whole_within(_READ_FIRST)
             if failed:
                 self._chooser.failed(instance, self._loop.time())
-                if self._worth_repeating(run, kind):
+                if self._should_retry_failure(run, kind):
                     detail = f"the target failed with status {head.status}"
                     return Ending(Outcome.UNKNOWN, 502, Reason.TARGET_BROKEN, detail)
             else:
@@ -429,7 +429,7 @@
             run.tries[-1].took = self._loop.time() - run.tries[-1].began
             answer.close()
 
-    def _worth_repeating(self, run: Run, kind: RequestKind) -> bool:
+    def _should_retry_failure(self, run: Run, kind: RequestKind) -> bool:
         if not kind.repeatable or run.sends >= kind.attempts or not run.body.resendable:
             return False
         others = [i for i in self._instances.of(run.service) if i.name not in run.tried]
@@ -442,7 +442,7 @@
         in_time = min(run.request.deadline, run.first_try + kind.target_latency)
         late = min(run.request.deadline, run.request.arrived + kind.timeout)
         usual = self._times.usual(kind.name)
-        return await self._seeker.choose(
+        return await self._selector.choose(
             service,
             rank=kind.rank,
             tried=run.tried,
--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -206,13 +206,13 @@
         )
         self.forwarder = Forwarder(
             routes=lambda: self.routes.table,
-            age=lambda: self.mesh.age(self._settings_rows),
+            settings_age=lambda: self.mesh.age(self._settings_rows),
             catching_up=lambda: self.wake.catching_up,
             instances=self.instances,
             chooser=chooser,
             times=self.times,
-            seeker=self.seeker,
-            make_repeats=self._make_repeats,
+            selector=self.seeker,
+            make_retry_share=self._make_repeats,
             guard=self._crash_guard,
             targets=self._targets,
             observer=self.figures,
@@ -263,7 +263,7 @@
             event(_log, "reload-needs-restart", level=logging.WARNING, fields=moved)
         self._settings = replace(settings, **{n: getattr(self._settings, n) for n in kept})
         self.probes.per_s = settings.probes_per_s
-        self.forwarder.change_repeats(
+        self.forwarder.configure_retry_shares(
             ratio=settings.repeat_ratio,
             slack=settings.repeat_slack,
             window=settings.repeat_window,
@@ -351,7 +351,7 @@
             await asyncio.sleep(_LOOK_S / 2)
         left = self.forwarder.in_flight
         # A target that says nothing is no reason to leave a caller without an answer.
-        self.forwarder.give_up_all()
+        self.forwarder.cancel_all()
         await asyncio.sleep(plan.last)
         for server in (self._front, *self._servers):
             await server.close()
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -321,7 +321,7 @@
 REST, LEAVING = "tests/test_rest.py", "tests/test_leaving_words.py"
 
 MUTANTS = (
-    Mutant("repeat what may run once", Forwarder, "_may_repeat", _repeat_anything, ENTRY),
+    Mutant("repeat what may run once", Forwarder, "_may_retry", _repeat_anything, ENTRY),
     Mutant("take any answer for one's own", WorkerDialect, "judge", _anybodys_answer, ENTRY),
     Mutant("promise for a bare 503", WorkerDialect, "judge", _no_promise_checked, ENTRY),
     Mutant("bar no request", CrashGuard, "barred_for", _bar_nothing, CRASHING),
@@ -354,7 +354,7 @@
         "hear no target say it leaves", InstanceList, "leave_for_good", _hear_no_leaving, LEAVING
     ),
     Mutant("set no target aside that refuses", FreshChooser, "refused", _blame_nobody, REST),
-    Mutant("try any number of targets", Forwarder, "_may_repeat", _any_number_of_tries, ENTRY),
+    Mutant("try any number of targets", Forwarder, "_may_retry", _any_number_of_tries, ENTRY),
     Mutant("give targets three seconds more", WorkerDialect, "request_headers", _more_time, ENTRY),
     Mutant("let no target leave", InstanceList, "_take_leaving", _leave_nothing, ENTRY),
     Mutant(
