--- a/benchmarks/goodput.py
+++ b/benchmarks/goodput.py
@@ -330,7 +330,7 @@
             times=times,
             selector=seeker,
             make_retry_share=lambda: RepeatShare(ratio=0.2, slack=62, window=10, clock=clock),
-            guard=CrashGuard(CrashLog(clock=clock), targets, tell=lambda _: None),
+            guard=CrashGuard(CrashLog(clock=clock), targets, publish=lambda _: None),
             targets=targets,
             observer=NoObserver(),
             rng=rng,
--- a/dunlinnotch/coordination/requests/crash_guard.py
+++ b/dunlinnotch/coordination/requests/crash_guard.py
@@ -28,11 +28,11 @@
     fingerprint : Fingerprint
     """
 
-    __slots__ = ("ended", "fingerprint")
+    __slots__ = ("crashed", "fingerprint")
 
     def __init__(self, fingerprint: Fingerprint) -> None:
         self.fingerprint = fingerprint
-        self.ended: dict[str, Span] = {}
+        self.crashed: dict[str, Span] = {}
 
 
 class CrashGuard:
@@ -42,32 +42,32 @@
     ----------
     log : CrashLog
     targets : TargetPort
-    tell : callable
+    publish : callable
         Is given the evidence that this box has seen and others have not.
 
     Attributes
     ----------
-    targets_ended : int
+    targets_crashed : int
         Targets that ended while they had a request of this box.
     """
 
     def __init__(
-        self, log: CrashLog, targets: TargetPort, *, tell: Callable[[Sequence[Evidence]], None]
+        self, log: CrashLog, targets: TargetPort, *, publish: Callable[[Sequence[Evidence]], None]
     ) -> None:
-        self._evidence = log
+        self._crash_log = log
         self._targets = targets
-        self._tell = tell
-        self.targets_ended = 0
+        self._publish = publish
+        self.targets_crashed = 0
 
-    def barred_for(self, tracked: TrackedRequest) -> Seconds:
+    def quarantine_left(self, tracked: TrackedRequest) -> Seconds:
         """Return how long a request is to be sent to no target; 0 if it may be sent."""
-        if not tracked.ended:
-            return max(self._evidence.barred_for(key) for key in tracked.fingerprint)
-        now = self._evidence.now
-        known = [self._evidence.with_ended(key, tracked.ended) for key in tracked.fingerprint]
+        if not tracked.crashed:
+            return max(self._crash_log.barred_for(key) for key in tracked.fingerprint)
+        now = self._crash_log.now
+        known = [self._crash_log.with_ended(key, tracked.crashed) for key in tracked.fingerprint]
         return max(evidence.barred_for(now) for evidence in known)
 
-    async def look(
+    async def check_target(
         self, tracked: TrackedRequest, request: CallerRequest, instance: Instance, *, took: Seconds
     ) -> None:
         """Note if a target that broke off a request has ended.
@@ -80,11 +80,11 @@
         took : float
             Seconds for which the target had the request.
         """
-        ended = self._evidence.now
+        ended = self._crash_log.now
         if not await self._targets.has_ended(instance.address):
             return
-        tracked.ended[instance.start] = Span(ended - took, ended)
-        self.targets_ended += 1
+        tracked.crashed[instance.start] = Span(ended - took, ended)
+        self.targets_crashed += 1
         event(
             _log,
             "target-ended",
@@ -96,7 +96,7 @@
             origin=tracked.fingerprint.origin,
         )
 
-    def finished(self, tracked: TrackedRequest, *, answered: bool) -> None:
+    def record_end(self, tracked: TrackedRequest, *, answered: bool) -> None:
         """Take in the end of a request, and tell others what they should know of it.
 
         Notes
@@ -107,13 +107,13 @@
         request), 35 were answered by their second.
         """
         ends = [
-            self._note_end(key, tracked.ended, answered=answered) for key in tracked.fingerprint
+            self._note_end(key, tracked.crashed, answered=answered) for key in tracked.fingerprint
         ]
         new = [evidence for evidence in ends if evidence is not None]
         if new:
-            self._tell(new)
+            self._publish(new)
 
     def _note_end(self, key: str, ended: Mapping[str, Span], *, answered: bool) -> Evidence | None:
         if answered:
-            return self._evidence.note_answered(key)
-        return self._evidence.note_ended(key, ended) if ended else None
+            return self._crash_log.note_answered(key)
+        return self._crash_log.note_ended(key, ended) if ended else None
--- a/dunlinnotch/coordination/requests/forward.py
+++ b/dunlinnotch/coordination/requests/forward.py
@@ -170,7 +170,7 @@
 
     def _end(self, run: Run, ending: Ending) -> None:
         answered = ending.outcome is Outcome.ANSWERED and ending.status < 500
-        self._guard.finished(run.tracked, answered=answered)
+        self._guard.record_end(run.tracked, answered=answered)
         took = self._loop.time() - run.request.arrived
         kind = "" if run.kind is None else run.kind.name
         self._observer.request_ended(kind, ending, took, run.sends)
@@ -293,7 +293,7 @@
 
     def _barred(self, run: Run) -> Ending | None:
         """Return the refusal of a request under which targets ended, here or elsewhere."""
-        wait = self._guard.barred_for(run.tracked)
+        wait = self._guard.quarantine_left(run.tracked)
         if not wait:
             return None
         detail = "targets ended under this request each time it was run"
@@ -390,7 +390,7 @@
     async def _look_for_end(self, run: Run, instance: Instance) -> None:
         """Have the guard note it if the target of the last try has ended."""
         took = self._loop.time() - run.tries[-1].began
-        await self._guard.look(run.tracked, run.request, instance, took=took)
+        await self._guard.check_target(run.tracked, run.request, instance, took=took)
 
     async def _relay(
         self, run: Run, kind: RequestKind, instance: Instance, answered: Answered
--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -191,7 +191,7 @@
             rng=rng,
         )
         self.gossip.join(self.crash_news, self.followers)
-        self._crash_guard = CrashGuard(self.crashes, self._targets, tell=self.crash_news.tell)
+        self._crash_guard = CrashGuard(self.crashes, self._targets, publish=self.crash_news.tell)
         self.probes = ProbeShare(settings.probes_per_s, clock=clock)
         self.times = WorkTimes()
         chooser = FreshChooser(place=settings.place, times=self.times, rng=rng)
@@ -415,7 +415,7 @@
                 self._listed.unreadable_count + self.routes.unreadable_count
             ),
             "rests_asked_total": float(self.seeker.rests_asked),
-            "targets_ended_total": float(self._crash_guard.targets_ended),
+            "targets_ended_total": float(self._crash_guard.targets_crashed),
             "requests_barred": float(self.crashes.barred),
             "store_calls_total": float(self._adapter.store_calls()),
             "store_failures_total": float(self._adapter.store_failures()),
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -324,7 +324,7 @@
     Mutant("repeat what may run once", Forwarder, "_may_retry", _repeat_anything, ENTRY),
     Mutant("take any answer for one's own", WorkerDialect, "judge", _anybodys_answer, ENTRY),
     Mutant("promise for a bare 503", WorkerDialect, "judge", _no_promise_checked, ENTRY),
-    Mutant("bar no request", CrashGuard, "barred_for", _bar_nothing, CRASHING),
+    Mutant("bar no request", CrashGuard, "quarantine_left", _bar_nothing, CRASHING),
     Mutant("tell no peer what ended targets", CrashNews, "_changed", _tell_no_peer, CRASH_NEWS),
     Mutant("keep no bar in the store", CrashNews, "_keep", _keep_nothing, CRASH_NEWS),
     Mutant(
--- a/tests/test_crash_guard.py
+++ b/tests/test_crash_guard.py
@@ -35,7 +35,7 @@
     told = []
     clock = Clock()
     log = CrashLog(clock=clock)
-    crash_guard = CrashGuard(log, Targets(*ended), tell=told.extend)
+    crash_guard = CrashGuard(log, Targets(*ended), publish=told.extend)
     crash_guard.clock = clock
     return crash_guard, log, told
 
@@ -44,21 +44,21 @@
     return Instance(ListedTarget(name, "s", "hall-a", name, 3, False, 1, 0.0))
 
 
-def look(crash_guard, tracked, *names):
+def check_targets(crash_guard, tracked, *names):
     """Have some targets break off a request, one after the other."""
     for name in names:
         crash_guard.clock.now += 1
-        asyncio.run(crash_guard.look(tracked, REQUEST, instance(name), took=0.5))
+        asyncio.run(crash_guard.check_target(tracked, REQUEST, instance(name), took=0.5))
 
 
 def test_a_target_that_only_broke_off_an_answer_is_nothing_against_a_request():
     crash_guard, log, told = guard("a", "b")
     tracked = TrackedRequest(WORST_KNOWN)
-    look(crash_guard, tracked, "a", "b", "c", "d")
-    crash_guard.finished(tracked, answered=False)
+    check_targets(crash_guard, tracked, "a", "b", "c", "d")
+    crash_guard.record_end(tracked, answered=False)
     assert set(log.find("f").targets) == {"a", "b"}
-    assert crash_guard.barred_for(tracked) == 0
-    assert crash_guard.targets_ended == 2
+    assert crash_guard.quarantine_left(tracked) == 0
+    assert crash_guard.targets_crashed == 2
     assert [evidence.request for evidence in told] == ["f", "o"]
 
 
@@ -66,18 +66,18 @@
     crash_guard, log, _ = guard("a", "b", "c")
     log.note_ended("f", targets(1))
     tracked = TrackedRequest(WORST_KNOWN)
-    look(crash_guard, tracked, "a")
-    assert crash_guard.barred_for(tracked) == 0
-    look(crash_guard, tracked, "b")
-    assert crash_guard.barred_for(tracked) > 0
+    check_targets(crash_guard, tracked, "a")
+    assert crash_guard.quarantine_left(tracked) == 0
+    check_targets(crash_guard, tracked, "b")
+    assert crash_guard.quarantine_left(tracked) > 0
     assert log.barred_for("f") == 0
 
 
 def test_a_request_that_was_at_the_wrong_target_and_is_answered_is_told_of_to_nobody():
     crash_guard, log, told = guard("a")
     tracked = TrackedRequest(WORST_KNOWN)
-    look(crash_guard, tracked, "a")
-    crash_guard.finished(tracked, answered=True)
+    check_targets(crash_guard, tracked, "a")
+    crash_guard.record_end(tracked, answered=True)
     assert told == []
     assert len(log) == 0
 
@@ -85,7 +85,7 @@
 def test_an_answer_takes_back_what_others_told():
     crash_guard, log, told = guard()
     log.note_ended("f", targets(BAR_AT - 1))
-    crash_guard.finished(TrackedRequest(WORST_KNOWN), answered=True)
+    crash_guard.record_end(TrackedRequest(WORST_KNOWN), answered=True)
     assert [evidence.answers for evidence in told] == [1]
     assert log.find("f").targets == {}
 
@@ -94,12 +94,14 @@
     crash_guard, log, _ = guard("a", "b", "c")
     for target in "abc":
         tracked = TrackedRequest(Fingerprint("worst query", "path"))
-        look(crash_guard, tracked, target)
-        crash_guard.finished(tracked, answered=False)
-        crash_guard.finished(TrackedRequest(Fingerprint(f"query {target}", "path")), answered=True)
+        check_targets(crash_guard, tracked, target)
+        crash_guard.record_end(tracked, answered=False)
+        crash_guard.record_end(
+            TrackedRequest(Fingerprint(f"query {target}", "path")), answered=True
+        )
     assert log.barred_for("worst query") > 0
     assert log.barred_for("path") == 0
-    assert crash_guard.barred_for(TrackedRequest(Fingerprint("another query", "path"))) == 0
+    assert crash_guard.quarantine_left(TrackedRequest(Fingerprint("another query", "path"))) == 0
 
 
 @pytest.mark.parametrize("boxes", [1, 3])
