--- a/dunlinnotch/coordination/requests/bodies.py
+++ b/dunlinnotch/coordination/requests/bodies.py
@@ -8,7 +8,7 @@
     from collections.abc import AsyncIterator
 
 
-class HeldBody:
+class BufferedBody:
     """A request's body that can be sent again if all of it is held.
 
     Parameters
@@ -19,38 +19,38 @@
 
     def __init__(self, parts: AsyncIterator[bytes]) -> None:
         self._parts = parts
-        self._held = bytearray()
-        self._whole = False
+        self._buffer = bytearray()
+        self._complete = False
         self._streamed = False
 
-    async def hold(self, most: int) -> None:
-        """Read until the end, or until more than ``most`` bytes are held."""
+    async def buffer(self, max_bytes: int) -> None:
+        """Read until the end, or until more than ``max_bytes`` bytes are held."""
         async for part in self._parts:
-            self._held += part
-            if len(self._held) > most:
+            self._buffer += part
+            if len(self._buffer) > max_bytes:
                 return
-        self._whole = True
+        self._complete = True
 
     @property
     def whole(self) -> bytes | None:
         """The body if all of it is held."""
-        return bytes(self._held) if self._whole else None
+        return bytes(self._buffer) if self._complete else None
 
     @property
-    def held(self) -> bytearray:
+    def buffered(self) -> bytearray:
         """What is held of the body."""
-        return self._held
+        return self._buffer
 
     @property
     def resendable(self) -> bool:
         """Whether the body may be sent (again) from its start."""
-        return self._whole or not self._streamed
+        return self._complete or not self._streamed
 
     async def parts(self) -> AsyncIterator[bytes]:
         """Yield the body, once if it is not held whole."""
         self._streamed = True
-        held, self._held = bytes(self._held), self._held if self._whole else bytearray()
+        held, self._buffer = bytes(self._buffer), self._buffer if self._complete else bytearray()
         yield held
-        if not self._whole:
+        if not self._complete:
             async for part in self._parts:
                 yield part
--- a/dunlinnotch/coordination/requests/forward.py
+++ b/dunlinnotch/coordination/requests/forward.py
@@ -15,7 +15,7 @@
 
 from dunlinnotch._logs import event
 from dunlinnotch.coordination.choosing.fresh import GOOD
-from dunlinnotch.coordination.requests.bodies import HeldBody
+from dunlinnotch.coordination.requests.bodies import BufferedBody
 from dunlinnotch.coordination.requests.crash_guard import TrackedRequest
 from dunlinnotch.coordination.requests.fingerprint import fingerprint
 from dunlinnotch.coordination.requests.first_attempts import FirstAttempts
@@ -156,7 +156,7 @@
         self, request: CallerRequest, parts: AsyncIterator[bytes], reply: ReplyPort
     ) -> Ending:
         """Serve one request; cancelled when its caller has gone."""
-        run = Run(request, HeldBody(parts), reply, point=0.0, first_try=request.arrived)
+        run = Run(request, BufferedBody(parts), reply, point=0.0, first_try=request.arrived)
         self._running.add(run)
         try:
             ending = await self._matched(run)
@@ -191,8 +191,8 @@
         ending: Ending | None = None
         try:
             async with asyncio.timeout_at(until) as run.scope:
-                await run.body.hold(_HOLD)
-                run.tracked = TrackedRequest(fingerprint(request, run.body.held))
+                await run.body.buffer(_HOLD)
+                run.tracked = TrackedRequest(fingerprint(request, run.body.buffered))
                 ending = await self._attempts(run)
         except TimeoutError:
             if ending is None:
--- a/dunlinnotch/coordination/requests/run.py
+++ b/dunlinnotch/coordination/requests/run.py
@@ -15,7 +15,7 @@
     import asyncio
 
     from dunlinnotch.coordination.choosing.waiting import Pick
-    from dunlinnotch.coordination.requests.bodies import HeldBody
+    from dunlinnotch.coordination.requests.bodies import BufferedBody
     from dunlinnotch.protocol.outcome import Outcome, Reason
     from dunlinnotch.protocol.relay import CallerRequest, ReplyPort
     from dunlinnotch.state.routes import RequestKind
@@ -90,7 +90,7 @@
     """One request under way; ``first_try`` is when its caller first asked, in monotonic s."""
 
     request: CallerRequest
-    body: HeldBody
+    body: BufferedBody
     reply: ReplyPort
     point: float
     first_try: Seconds
