--- a/dunlinnotch/daemon/gossip.py
+++ b/dunlinnotch/daemon/gossip.py
@@ -217,7 +217,7 @@
             event(_log, "table-fetched", table=table, peer=peer, version=delta.version)
             self._words.send([self._mesh.own_word()], self._mesh.to_tell_news())
             for follower in self._followers:
-                follower.look_again()
+                follower.restart_if_behind()
 
     def _tell_table(self, table: str, version: int, era: int) -> tuple[TableDelta, int]:
         followed = self._tables[table]
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -388,7 +388,7 @@
     Mutant(
         "trust a call that hangs",
         TableFollower,
-        "_break_off",
+        "_cancel_if_behind",
         _never_behind,
         "tests/test_following.py",
     ),
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -118,15 +118,15 @@
 
 
 def test_a_call_that_does_not_tell_what_a_peer_told_is_made_anew(monkeypatch):
-    monkeypatch.setattr(following, "_BEHIND_S", 0.02)
+    monkeypatch.setattr(following, "_BEHIND_GRACE_S", 0.02)
     # Nothing but what the peer told ends the call.
-    monkeypatch.setattr(following, "WAIT_LEAD_S", 3600.0)
+    monkeypatch.setattr(following, "PRIMARY_POLL_TIMEOUT_S", 3600.0)
 
     async def test(source, table, follower, news):
         await until(lambda: source.asked == [1])
         # A peer tells version 4; the call that hangs should have told it as well.
         table.take(TableDelta("t", 4, False, (TableRow("k", 4, b"x"),)), at=0.0)
-        follower.look_again()
+        follower.restart_if_behind()
         await until(lambda: source.asked == [1, 4])
 
     follow(test)
@@ -152,8 +152,8 @@
 
 
 def test_a_call_that_hangs_longer_than_it_may_is_given_up(monkeypatch, caplog):
-    monkeypatch.setattr(following, "WAIT_LEAD_S", 0.02)
-    monkeypatch.setattr(following, "_SLACK_S", 0.02)
+    monkeypatch.setattr(following, "PRIMARY_POLL_TIMEOUT_S", 0.02)
+    monkeypatch.setattr(following, "_HUNG_MARGIN_S", 0.02)
 
     async def test(source, table, follower, news):
         await until(lambda: len(source.asked) >= 2)
@@ -172,8 +172,8 @@
         source.answers = ["hang"]
         await until(lambda: source.asked == [1])
         table.take(TableDelta("t", 7, False, ()), at=1.0)
-        follower.look_again()
-        await asyncio.sleep(following._BEHIND_S * 2)
+        follower.restart_if_behind()
+        await asyncio.sleep(following._BEHIND_GRACE_S * 2)
         assert source.asked == [1]
         assert not follower.failing
 
@@ -190,8 +190,8 @@
         mesh.reading = False
         follower._failures = 9
         mesh.is_first = lambda: False
-        assert follower._pause() == pytest.approx(0.4 * 20)
+        assert follower._retry_delay() == pytest.approx(0.4 * 20)
         mesh.is_first = lambda: True
-        assert follower._pause() == pytest.approx(0.8)
+        assert follower._retry_delay() == pytest.approx(0.8)
 
     follow(test)
