--- a/dunlinnotch/coordination/core.py
+++ b/dunlinnotch/coordination/core.py
@@ -119,7 +119,7 @@
         self._probe = probe
         self._clock = clock
         self._on_settings = on_settings
-        self.holder = SettingsHolder(self._put_in_force)
+        self.holder = SettingsHolder(self._activate)
         self.membership = Membership(
             row,
             holder=self.holder,
@@ -139,7 +139,7 @@
         self.gate = WorkGate(self.membership, self.holder, clock=clock)
         self.steering = Steering(self.membership, rng=rng)
         self.ledger = OnceLedger(clock=clock)
-        self.seat = SeatHolder(
+        self.probe_lease = SeatHolder(
             platform,
             box=self.name,
             incarnation=row.incarnation,
@@ -180,7 +180,7 @@
         """Return the settings version in force."""
         return self.holder.version
 
-    def follow(self) -> bool:
+    def poll_store(self) -> bool:
         """Read the table and the list of boxes once.
 
         Returns
@@ -214,7 +214,7 @@
         for pool in self.directory.pools():
             pool.hear_leaving(heard)
 
-    def heed_operator(self) -> None:
+    def apply_run_state(self) -> None:
         """Start or call off a drain, as the tree says."""
         tree = self.holder.tree
         states = (tree.box_state(self.name), tree.place_state(self.place))
@@ -228,11 +228,11 @@
         tree = self.holder.tree
         longest = max(tree.effective(path).keep_s for path in (*tree.nodes, "/"))
         margin = self.timing.suspect_s + self.timing.drain_margin_s
-        self.drain.start(longest_answer=longest + margin)
+        self.drain.start(max_answer_lifetime=longest + margin)
 
-    def renew_seat(self) -> bool:
+    def renew_probe_lease(self) -> bool:
         """Renew the probe seat; return whether one is held."""
-        return self.seat.renew(self.holder.tree.effective("/").boxes_max)
+        return self.probe_lease.renew(self.holder.tree.effective("/").boxes_max)
 
     def probes_allowed(self) -> float:
         """Return the probes a second that the budget lets this box send now."""
@@ -241,12 +241,12 @@
             for pool in self.directory.pools()
             for target in pool.records()
         )
-        return sum(probes_per_second(s) for s in found if self.seat.held(s.boxes_max))
+        return sum(probes_per_second(s) for s in found if self.probe_lease.held(s.boxes_max))
 
     def _probe_settings(self, pool: ServicePool, target: TargetRecord) -> Settings:
         return self.holder.tree.effective(f"{target.place}/{pool.service}")
 
-    def probe_gaps(self) -> None:
+    def probe_unreported_targets(self) -> None:
         """Probe targets that calls tell nothing of, within the budget."""
         for pool in self.directory.pools():
             for target in pool.records():
@@ -255,7 +255,7 @@
     def _probe_if_due(self, pool: ServicePool, target: TargetRecord) -> None:
         now = self._clock()
         settings = self._probe_settings(pool, target)
-        if not self._budget.wanted(target, now) or not self.seat.held(settings.boxes_max):
+        if not self._budget.wanted(target, now) or not self.probe_lease.held(settings.boxes_max):
             return
         if not self._budget.take(target.address, settings, now):
             return
@@ -267,7 +267,7 @@
             pool.heard(target, report)
         event(_log, "probe", target=target.address, service=pool.service, report=report)
 
-    def _put_in_force(self, tree: SettingsTree) -> None:
+    def _activate(self, tree: SettingsTree) -> None:
         self.directory.rebuild(tree, self.membership.live())
         self.membership.refresh_own(version=tree.version)
         if self._on_settings is not None:
--- a/dunlinnotch/coordination/requests/drain.py
+++ b/dunlinnotch/coordination/requests/drain.py
@@ -67,12 +67,12 @@
         left = max(0.0, self._answers_until - self._clock())
         return DrainStatus(self._phase, round(left, 1), self._gate.in_flight)
 
-    def start(self, *, longest_answer: Seconds) -> None:
+    def start(self, *, max_answer_lifetime: Seconds) -> None:
         """Begin to drain, unless a drain is under way.
 
         Parameters
         ----------
-        longest_answer : float
+        max_answer_lifetime : float
             Seconds for which a caller may still come with an answer that
             names this box.
         """
@@ -81,9 +81,9 @@
                 return
             self._phase = DrainPhase.ANSWERS
             self.begun.set()
-            self._answers_until = self._clock() + longest_answer
+            self._answers_until = self._clock() + max_answer_lifetime
             self._membership.refresh_own(state=RunState.DRAINING)
-        event(_log, "drain-started", answers_s=longest_answer, calls=self._gate.in_flight)
+        event(_log, "drain-started", answers_s=max_answer_lifetime, calls=self._gate.in_flight)
 
     def resume(self) -> None:
         """Call the drain off, if the box still serves."""
--- a/dunlinnotch/coordination/settings/tree.py
+++ b/dunlinnotch/coordination/settings/tree.py
@@ -78,14 +78,14 @@
             for edit in edits:
                 if edit.version == tree.version + 1:
                     tree = tree.apply(edit)
-            return self._put_in_force(tree)
+            return self._activate(tree)
 
     def replace(self, tree: SettingsTree) -> bool:
         """Take a whole tree if it is newer; return whether it was."""
         with self._lock:
-            return self._put_in_force(tree)
+            return self._activate(tree)
 
-    def _put_in_force(self, tree: SettingsTree) -> bool:
+    def _activate(self, tree: SettingsTree) -> bool:
         if tree.version <= self.tree.version:
             return False
         old, self.tree = self.tree.version, tree
--- a/dunlinnotch/daemon/box.py
+++ b/dunlinnotch/daemon/box.py
@@ -203,7 +203,7 @@
         poll = self.config.platform.poll_ms / 1000
         while not self._stopped.is_set():
             try:
-                if self.core.follow():
+                if self.core.poll_store():
                     self.links.wake()
             except PlatformUnavailableError as error:
                 event(_log, "platform-unavailable", level=logging.WARNING, detail=str(error))
@@ -216,7 +216,7 @@
         while not self._stopped.is_set():
             self.core.maintain()
             if not self.signalled:
-                self.core.heed_operator()
+                self.core.apply_run_state()
             self._send_gauges()
             self._changed.wait(period)
             self._changed.clear()
@@ -245,7 +245,7 @@
 
     def _probe(self) -> None:
         while not self._stopped.wait(_PROBE_LOOK_S):
-            self.core.probe_gaps()
+            self.core.probe_unreported_targets()
 
     def _advance_drain(self) -> None:
         while not self._stopped.is_set():
@@ -256,7 +256,7 @@
 
     def _keep_seat(self) -> None:
         while not self._stopped.is_set():
-            held = self.core.renew_seat()
+            held = self.core.renew_probe_lease()
             wait = self.config.platform.lease_s / _RENEWALS if held else _SEAT_WAIT_S
             self._stopped.wait(wait * (0.9 + 0.2 * self._rng.random()))
 
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -106,8 +106,8 @@
     return _poll(self)
 
 
-def _drain_at_once(self, *, longest_answer):
-    _start(self, longest_answer=0.0)
+def _drain_at_once(self, *, max_answer_lifetime):
+    _start(self, max_answer_lifetime=0.0)
 
 
 _start = Drain.start
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -186,9 +186,9 @@
     world.start_box("box-2", "hall-a")
     for _ in range(20):
         world.tick()
-    paused = next(n for n, core in world.boxes.items() if core.seat.held(BOXES_MAX))
+    paused = next(n for n, core in world.boxes.items() if core.probe_lease.held(BOXES_MAX))
     world.pause(paused, seconds)
-    world.boxes[paused].probe_gaps()
+    world.boxes[paused].probe_unreported_targets()
     for _ in range(20):
         world.tick()
     settled(world)
--- a/tests/world.py
+++ b/tests/world.py
@@ -274,9 +274,9 @@
         self.links = {pair: state for pair, state in self.links.items() if name not in pair}
         try:
             self.reach("start", box=name)
-            self._quiet(core.follow)
+            self._quiet(core.poll_store)
             core.maintain()
-            core.renew_seat()
+            core.renew_probe_lease()
         except BoxKilledError:
             self.kill(name)
 
@@ -328,13 +328,13 @@
 
     def _live(self, name, core):
         try:
-            self._quiet(core.follow)
+            self._quiet(core.poll_store)
             core.maintain()
-            core.heed_operator()
+            core.apply_run_state()
             core.drain.advance()
-            core.renew_seat()
+            core.renew_probe_lease()
             self.reach("probe", box=name)
-            core.probe_gaps()
+            core.probe_unreported_targets()
         except BoxKilledError:
             self.kill(name)
 
@@ -413,7 +413,7 @@
     def _check_seat(self, name):
         """A box that probes must be the one that the table names for its seat."""
         core = self.boxes[name]
-        lease = core.seat.lease
+        lease = core.probe_lease.lease
         row = self.store.rows[lease.key] if lease else None
         value = _codec.from_json(SeatValue, row.value.encode()) if row else None
         own = (name, core.membership.own.incarnation)
