--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -21,8 +21,8 @@
 from dunlinnotch.coordination.membership.wake import WakeWatch
 from dunlinnotch.coordination.requests.crash_guard import CrashGuard
 from dunlinnotch.coordination.requests.forward import Forwarder
-from dunlinnotch.coordination.settings.beliefs import RoutesInForce, TargetsListed
 from dunlinnotch.coordination.settings.following import TableFollower
+from dunlinnotch.coordination.settings.store_tables import ActiveRoutes, TargetListing
 from dunlinnotch.daemon.figures import Figures
 from dunlinnotch.daemon.gossip import Gossip
 from dunlinnotch.daemon.stop import StopPlan
@@ -145,11 +145,11 @@
         clock = self._loop.time
         self._dropped_lines = dropped_lines
         self.instances = InstanceList()
-        self.routes = RoutesInForce(
+        self.routes = ActiveRoutes(
             adapter.read_settings, key=adapter.settings_key, on_change=self._on_routes
         )
-        self._listed = TargetsListed(adapter.read_target, self.instances, clock=clock)
-        self._settings_rows = FollowedTable(adapter.settings_table, self.routes.take)
+        self._listed = TargetListing(adapter.read_target, self.instances, clock=clock)
+        self._settings_rows = FollowedTable(adapter.settings_table, self.routes.apply)
         self._target_rows = FollowedTable(adapter.targets_table, self._take_targets)
         self.tables = {t.name: t for t in (self._settings_rows, self._target_rows)}
         self.mesh = Mesh(
@@ -191,7 +191,7 @@
             rng=rng,
         )
         self.gossip.join(self.crash_news, self.followers)
-        self._crash_guard = CrashGuard(self.crashes, self._targets, tell=self.crash_news.tell)
+        self._crash_guard = CrashGuard(self.crashes, self._targets, publish=self.crash_news.tell)
         self.probes = ProbeShare(settings.probes_per_s, clock=clock)
         self.times = WorkTimes()
         chooser = FreshChooser(place=settings.place, times=self.times, rng=rng)
@@ -206,13 +206,13 @@
         )
         self.forwarder = Forwarder(
             routes=lambda: self.routes.table,
-            age=lambda: self.mesh.age(self._settings_rows),
+            settings_age=lambda: self.mesh.age(self._settings_rows),
             catching_up=lambda: self.wake.catching_up,
             instances=self.instances,
             chooser=chooser,
             times=self.times,
-            seeker=self.seeker,
-            make_repeats=self._make_repeats,
+            selector=self.seeker,
+            make_retry_share=self._make_repeats,
             guard=self._crash_guard,
             targets=self._targets,
             observer=self.figures,
@@ -263,7 +263,7 @@
             event(_log, "reload-needs-restart", level=logging.WARNING, fields=moved)
         self._settings = replace(settings, **{n: getattr(self._settings, n) for n in kept})
         self.probes.per_s = settings.probes_per_s
-        self.forwarder.change_repeats(
+        self.forwarder.configure_retry_shares(
             ratio=settings.repeat_ratio,
             slack=settings.repeat_slack,
             window=settings.repeat_window,
@@ -351,7 +351,7 @@
             await asyncio.sleep(_LOOK_S / 2)
         left = self.forwarder.in_flight
         # A target that says nothing is no reason to leave a caller without an answer.
-        self.forwarder.give_up_all()
+        self.forwarder.cancel_all()
         await asyncio.sleep(plan.last)
         for server in (self._front, *self._servers):
             await server.close()
@@ -400,7 +400,7 @@
         self._targets.set_most(max(4, most // max(self.mesh.most_boxes, _BOXES_LEAST)))
 
     def _take_targets(self, rows: list[TableRow]) -> None:
-        self._listed.take(rows)
+        self._listed.apply(rows)
         self._targets.keep_only(self.instances.addresses())
         self.probes.keep_only({instance.name for instance in self.instances.all()})
 
@@ -411,9 +411,11 @@
             "probes_total": float(self.probes.spent),
             "probes_denied_total": float(self.probes.denied),
             "connections_opened_total": float(self._targets.opened),
-            "entries_unreadable_total": float(self._listed.unreadable + self.routes.unreadable),
+            "entries_unreadable_total": float(
+                self._listed.unreadable_count + self.routes.unreadable_count
+            ),
             "rests_asked_total": float(self.seeker.rests_asked),
-            "targets_ended_total": float(self._crash_guard.targets_ended),
+            "targets_ended_total": float(self._crash_guard.targets_crashed),
             "requests_barred": float(self.crashes.barred),
             "store_calls_total": float(self._adapter.store_calls()),
             "store_failures_total": float(self._adapter.store_failures()),
--- a/dunlinnotch/daemon/gossip.py
+++ b/dunlinnotch/daemon/gossip.py
@@ -16,8 +16,8 @@
 
     from dunlinnotch.coordination.membership.crash_news import CrashNews
     from dunlinnotch.coordination.membership.mesh import Mesh
-    from dunlinnotch.coordination.settings.beliefs import RoutesInForce
     from dunlinnotch.coordination.settings.following import TableFollower
+    from dunlinnotch.coordination.settings.store_tables import ActiveRoutes
     from dunlinnotch.protocol.crashes import SeenCrashes
     from dunlinnotch.protocol.mesh import BoxWord
     from dunlinnotch.state.followed import FollowedTable, TableDelta
@@ -50,7 +50,7 @@
     mesh : Mesh
     tables : sequence of FollowedTable
         What a peer may lack, or have further than this box.
-    routes : RoutesInForce
+    routes : ActiveRoutes
     settings_table : str
         The one of the tables that holds the settings.
     seeds : callable
@@ -64,7 +64,7 @@
         self,
         mesh: Mesh,
         tables: Sequence[FollowedTable],
-        routes: RoutesInForce,
+        routes: ActiveRoutes,
         *,
         settings_table: str,
         seeds: Callable[[], Sequence[Address]],
@@ -217,12 +217,12 @@
             event(_log, "table-fetched", table=table, peer=peer, version=delta.version)
             self._words.send([self._mesh.own_word()], self._mesh.to_tell_news())
             for follower in self._followers:
-                follower.look_again()
+                follower.restart_if_behind()
 
     def _tell_table(self, table: str, version: int, era: int) -> tuple[TableDelta, int]:
         followed = self._tables[table]
         delta = followed.since(version, era)
         if table == self._settings_table:
-            delta = self._routes.told(delta)
+            delta = self._routes.with_active_settings(delta)
         age: Seconds = self._mesh.age(followed)
         return delta, int(age * 1000) if followed.known else -1
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -26,15 +26,15 @@
 from dunlinnotch.coordination.membership.mesh import STALE_S, Mesh
 from dunlinnotch.coordination.membership.rows import Membership
 from dunlinnotch.coordination.membership.wake import WakeWatch
-from dunlinnotch.coordination.requests import once
+from dunlinnotch.coordination.requests import idempotency
 from dunlinnotch.coordination.requests.crash_guard import CrashGuard
 from dunlinnotch.coordination.requests.drain import Drain
 from dunlinnotch.coordination.requests.forward import Forwarder
 from dunlinnotch.coordination.requests.router import Router
 from dunlinnotch.coordination.settings import tree as settings
-from dunlinnotch.coordination.settings.beliefs import RoutesInForce, TargetsListed
 from dunlinnotch.coordination.settings.following import TableFollower
 from dunlinnotch.coordination.settings.gate import WorkGate
+from dunlinnotch.coordination.settings.store_tables import ActiveRoutes, TargetListing
 from dunlinnotch.daemon.entry import EntryBox
 from dunlinnotch.platform.dialect import WorkerDialect
 from dunlinnotch.protocol.answers import OnceKey, parse_once_key
@@ -106,8 +106,8 @@
     return _poll(self)
 
 
-def _drain_at_once(self, *, longest_answer):
-    _start(self, longest_answer=0.0)
+def _drain_at_once(self, *, max_answer_lifetime):
+    _start(self, max_answer_lifetime=0.0)
 
 
 _start = Drain.start
@@ -265,7 +265,7 @@
     return True
 
 
-def _bar_nothing(self, suspect):
+def _bar_nothing(self, tracked):
     return 0.0
 
 
@@ -321,10 +321,10 @@
 REST, LEAVING = "tests/test_rest.py", "tests/test_leaving_words.py"
 
 MUTANTS = (
-    Mutant("repeat what may run once", Forwarder, "_may_repeat", _repeat_anything, ENTRY),
+    Mutant("repeat what may run once", Forwarder, "_may_retry", _repeat_anything, ENTRY),
     Mutant("take any answer for one's own", WorkerDialect, "judge", _anybodys_answer, ENTRY),
     Mutant("promise for a bare 503", WorkerDialect, "judge", _no_promise_checked, ENTRY),
-    Mutant("bar no request", CrashGuard, "barred_for", _bar_nothing, CRASHING),
+    Mutant("bar no request", CrashGuard, "quarantine_left", _bar_nothing, CRASHING),
     Mutant("tell no peer what ended targets", CrashNews, "_changed", _tell_no_peer, CRASH_NEWS),
     Mutant("keep no bar in the store", CrashNews, "_keep", _keep_nothing, CRASH_NEWS),
     Mutant(
@@ -354,7 +354,7 @@
         "hear no target say it leaves", InstanceList, "leave_for_good", _hear_no_leaving, LEAVING
     ),
     Mutant("set no target aside that refuses", FreshChooser, "refused", _blame_nobody, REST),
-    Mutant("try any number of targets", Forwarder, "_may_repeat", _any_number_of_tries, ENTRY),
+    Mutant("try any number of targets", Forwarder, "_may_retry", _any_number_of_tries, ENTRY),
     Mutant("give targets three seconds more", WorkerDialect, "request_headers", _more_time, ENTRY),
     Mutant("let no target leave", InstanceList, "_take_leaving", _leave_nothing, ENTRY),
     Mutant(
@@ -366,17 +366,17 @@
     ),
     Mutant(
         "go back to older settings",
-        RoutesInForce,
-        "_take_document",
+        ActiveRoutes,
+        "_apply_document",
         _any_version,
-        "tests/test_beliefs.py",
+        "tests/test_store_tables.py",
     ),
     Mutant(
         "keep a row that vanished alone",
-        TargetsListed,
-        "_many",
+        TargetListing,
+        "_is_mass_disappearance",
         _keep_lapsed,
-        "tests/test_beliefs.py",
+        "tests/test_store_tables.py",
     ),
     Mutant("probe without a budget", ProbeShare, "take", _spend_freely, SHARES),
     Mutant("repeat without a budget", RepeatShare, "take", _spend_freely, SHARES),
@@ -388,7 +388,7 @@
     Mutant(
         "trust a call that hangs",
         TableFollower,
-        "_break_off",
+        "_cancel_if_behind",
         _never_behind,
         "tests/test_following.py",
     ),
@@ -452,11 +452,16 @@
     Mutant("forget once-keys", OnceLedger, "claim", _claim_always),
     Mutant(
         "run a key of another box",
-        once,
+        idempotency,
         "parse_once_key",
         _anybodys_key,
     ),
-    Mutant("say not run of an earlier copy", once.OnceGuard, "may_have_run", _never_ran_before),
+    Mutant(
+        "say not run of an earlier copy",
+        idempotency.IdempotencyGuard,
+        "may_have_run",
+        _never_ran_before,
+    ),
     Mutant("accept without the silent boxes", Membership, "missing", _own_word_only),
     Mutant(
         "serve while cut off",
