--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -23,8 +23,8 @@
 from dunlinnotch.coordination.requests.forward import Forwarder
 from dunlinnotch.coordination.settings.beliefs import RoutesInForce, TargetsListed
 from dunlinnotch.coordination.settings.following import TableFollower
-from dunlinnotch.daemon.figures import Figures
 from dunlinnotch.daemon.gossip import Gossip
+from dunlinnotch.daemon.metrics_text import TextMetrics
 from dunlinnotch.daemon.stop import StopPlan
 from dunlinnotch.state.crashes import CrashLog
 from dunlinnotch.state.followed import FollowedTable
@@ -178,7 +178,7 @@
             for table in self.tables.values()
         ]
         self.wake = WakeWatch(clock=clock, outdated=self._outdated)
-        self.figures = Figures(self._gauges)
+        self.text_metrics = TextMetrics(self._gauges)
         self._targets = TargetClient(adapter.targets)
         self.crashes = CrashLog(clock=elapsed)
         self.crash_news = CrashNews(
@@ -215,7 +215,7 @@
             make_repeats=self._make_repeats,
             guard=self._crash_guard,
             targets=self._targets,
-            observer=self.figures,
+            observer=self.text_metrics,
             rng=rng,
         )
         self.limits = ServerLimits()
--- a/dunlinnotch/daemon/figures.py
+++ b/dunlinnotch/daemon/metrics_text.py
@@ -19,7 +19,7 @@
 BUCKETS = (0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 2.0, 5.0)
 
 
-class FigureInfo(NamedTuple):
+class TextMetricInfo(NamedTuple):
     """Name, type, labels and meaning of one figure."""
 
     name: str
@@ -29,25 +29,25 @@
 
 
 #: All figures; ``docs/METRICS.md`` is generated from this table.
-FIGURES = (
-    FigureInfo("requests_total", "counter", "kind, outcome, reason", "Requests ended."),
-    FigureInfo("sends_total", "counter", "", "Targets that requests were sent to."),
-    FigureInfo("request_seconds", "histogram", "kind", "From the head to the end."),
-    FigureInfo("probes_total", "counter", "", "Probes sent to targets."),
-    FigureInfo("probes_denied_total", "counter", "", "Probes for which no budget was left."),
-    FigureInfo("connections_opened_total", "counter", "", "Connections opened to targets."),
-    FigureInfo("entries_unreadable_total", "counter", "", "Rows that could not be read."),
-    FigureInfo("rests_asked_total", "counter", "", "Times that a target asked for rest."),
-    FigureInfo("targets_ended_total", "counter", "", "Targets that ended under a request."),
-    FigureInfo("requests_barred", "gauge", "", "Requests sent to no target: they end them."),
-    FigureInfo("store_calls_total", "counter", "", "Calls made to the platform's store."),
-    FigureInfo("store_failures_total", "counter", "", "Calls to the store without an answer."),
-    FigureInfo("settings_version", "gauge", "", "Settings version in force; 0 before any."),
-    FigureInfo("table_age_seconds", "gauge", "table", "Since a table was known to be all."),
-    FigureInfo("boxes_live", "gauge", "", "Boxes heard lately, this one included."),
-    FigureInfo("in_flight", "gauge", "", "Requests being served."),
-    FigureInfo("word_bytes_total", "counter", "", "Bytes of words sent to peers."),
-    FigureInfo("log_lines_dropped_total", "counter", "", "Log lines left out."),
+TEXT_METRICS = (
+    TextMetricInfo("requests_total", "counter", "kind, outcome, reason", "Requests ended."),
+    TextMetricInfo("sends_total", "counter", "", "Targets that requests were sent to."),
+    TextMetricInfo("request_seconds", "histogram", "kind", "From the head to the end."),
+    TextMetricInfo("probes_total", "counter", "", "Probes sent to targets."),
+    TextMetricInfo("probes_denied_total", "counter", "", "Probes for which no budget was left."),
+    TextMetricInfo("connections_opened_total", "counter", "", "Connections opened to targets."),
+    TextMetricInfo("entries_unreadable_total", "counter", "", "Rows that could not be read."),
+    TextMetricInfo("rests_asked_total", "counter", "", "Times that a target asked for rest."),
+    TextMetricInfo("targets_ended_total", "counter", "", "Targets that ended under a request."),
+    TextMetricInfo("requests_barred", "gauge", "", "Requests sent to no target: they end them."),
+    TextMetricInfo("store_calls_total", "counter", "", "Calls made to the platform's store."),
+    TextMetricInfo("store_failures_total", "counter", "", "Calls to the store without an answer."),
+    TextMetricInfo("settings_version", "gauge", "", "Settings version in force; 0 before any."),
+    TextMetricInfo("table_age_seconds", "gauge", "table", "Since a table was known to be all."),
+    TextMetricInfo("boxes_live", "gauge", "", "Boxes heard lately, this one included."),
+    TextMetricInfo("in_flight", "gauge", "", "Requests being served."),
+    TextMetricInfo("word_bytes_total", "counter", "", "Bytes of words sent to peers."),
+    TextMetricInfo("log_lines_dropped_total", "counter", "", "Log lines left out."),
 )
 
 
@@ -61,7 +61,7 @@
         self.sum += value
 
 
-class Figures:
+class TextMetrics:
     """Count, and tell the counts.
 
     Parameters
--- a/dunlinnotch/platform/doors.py
+++ b/dunlinnotch/platform/doors.py
@@ -63,4 +63,4 @@
         if exchange.path.partition("?")[0] != FIGURES:
             exchange.reply(404, (), b"")
             return
-        exchange.reply(200, _TEXT, self._box.figures.text().encode())
+        exchange.reply(200, _TEXT, self._box.text_metrics.text().encode())
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -538,6 +538,6 @@
             assert (line["tries"][0]["status"], line["tries"][0]["rest_s"]) == (503, 2.5)
             (asked,) = logged(caplog, "target-asks-rest")[:1]
             assert (asked["instance"], asked["rest_s"]) == (world.workers[0].instance, 2.5)
-            assert "dunlinnotch_rests_asked_total 1\n" in world.boxes[0].figures.text()
+            assert "dunlinnotch_rests_asked_total 1\n" in world.boxes[0].text_metrics.text()
 
     run(test)
--- a/tools/pages.py
+++ b/tools/pages.py
@@ -10,8 +10,8 @@
 from typing import TYPE_CHECKING
 
 from dunlinnotch.config import Config
-from dunlinnotch.daemon.figures import FIGURES
 from dunlinnotch.daemon.metrics import Metric
+from dunlinnotch.daemon.metrics_text import TEXT_METRICS
 from dunlinnotch.state.schema import FIELD_NAMES, Settings, allowed, default_of, unit_of
 
 if TYPE_CHECKING:
@@ -74,7 +74,7 @@
 def metrics_page() -> str:
     """Return the page on metrics."""
     rows = [[f"`{m.value.name}`", m.value.type, m.value.unit, m.value.meaning] for m in Metric]
-    told = [[f"`{f.name}`", f.type, f.labels or "-", f.meaning] for f in FIGURES]
+    told = [[f"`{f.name}`", f.type, f.labels or "-", f.meaning] for f in TEXT_METRICS]
     return (
         f"# Metrics\n\n{_NOTE}\n"
         "Sent by statsd to the server set as `statsd` in `[metrics]`; each name follows\n"
