--- a/dunlinnotch/platform/__main__.py
+++ b/dunlinnotch/platform/__main__.py
@@ -18,7 +18,7 @@
 from dunlinnotch.errors import ConfigError  # noqa: E402
 from dunlinnotch.platform import settings_file  # noqa: E402
 from dunlinnotch.platform.adapter import make_adapter  # noqa: E402
-from dunlinnotch.platform.doors import Doors  # noqa: E402
+from dunlinnotch.platform.endpoints import Endpoints  # noqa: E402
 from dunlinnotch.platform.watch import SettingsWatch  # noqa: E402
 from dunlinnotch.transport.stream.server import StreamServer  # noqa: E402
 
@@ -33,21 +33,24 @@
         path = Path(os.environ.get(settings_file.VARIABLE, ""))
         node_file = settings_file.read_file(path)
         settings = settings_file.entry_settings(node_file)
-        doors = settings_file.Doors(node_file)
+        endpoint_settings = settings_file.EndpointSettings(node_file)
     except ConfigError as error:
         sys.stderr.write(f"{error.code}: {error}\n")
         return _BAD_SETTINGS
     with asyncio.Runner(loop_factory=ElapsedTimeLoop) as runner:
-        runner.run(_run(settings, doors, stream, path))
+        runner.run(_run(settings, endpoint_settings, stream, path))
     return 0
 
 
 async def _run(
-    settings: EntrySettings, doors: settings_file.Doors, stream: BoundedStream, path: Path
+    settings: EntrySettings,
+    doors: settings_file.EndpointSettings,
+    stream: BoundedStream,
+    path: Path,
 ) -> None:
     adapter = make_adapter(doors.store)
     box = EntryBox(settings, adapter, rng=random.Random(), dropped_lines=lambda: stream.dropped)
-    answers = Doors(box, longest_ttl=doors.longest_ttl)
+    answers = Endpoints(box, longest_ttl=doors.longest_ttl)
     for address, handler in (
         (doors.readiness, answers.readiness),
         (doors.directory, answers.directory),
--- a/dunlinnotch/platform/doors.py
+++ b/dunlinnotch/platform/endpoints.py
@@ -23,7 +23,7 @@
 _TEXT = (Header("Content-Type", "text/plain; version=0.0.4"),)
 
 
-class Doors:
+class Endpoints:
     """Answer what is not a request for a worker.
 
     Parameters
--- a/dunlinnotch/platform/settings_file.py
+++ b/dunlinnotch/platform/settings_file.py
@@ -103,7 +103,7 @@
         return number
 
 
-class Doors:
+class EndpointSettings:
     """Addresses at which the platform and callers ask this box.
 
     Parameters
