--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -173,7 +173,7 @@
         )
         self.followers = [
             TableFollower(
-                table, adapter.source, self.mesh, on_answer=self.gossip.tell_answer, rng=rng
+                table, adapter.source, self.mesh, on_answer=self.gossip.announce_read, rng=rng
             )
             for table in self.tables.values()
         ]
@@ -186,7 +186,7 @@
             self.mesh,
             adapter.rows,
             send=self.gossip.send_crashes,
-            on_known=self.gossip.tell_state,
+            on_known=self.gossip.announce_state,
             era=lambda: max(table.era for table in self.tables.values()),
             rng=rng,
         )
@@ -242,7 +242,7 @@
             peer=self._settings.peer,
         )
         self._spawn(self.gossip.run())
-        await self.gossip.hear_peers()
+        await self.gossip.sync_with_peers()
         for follower in self.followers:
             self._spawn(follower.run())
         self._spawn(self.crash_news.run())
@@ -306,17 +306,17 @@
         """Keep up what depends on time."""
         while True:
             if self.wake.look():
-                self.gossip.ask_few()
+                self.gossip.request_updates()
             if self.mesh.state not in (RUNNING, DRAINING) and self._can_serve():
                 self.mesh.state = RUNNING
                 era = self._settings_rows.era
                 event(_log, "serving", box=self.mesh.name, version=self._version(), era=era)
-                self.gossip.tell_state()
+                self.gossip.announce_state()
             self._listed.expire()
             reading = not any(follower.failing for follower in self.followers)
             if reading != self.mesh.reading:
                 self.mesh.reading = reading
-                self.gossip.tell_state()
+                self.gossip.announce_state()
             self.mesh.in_flight = self.forwarder.in_flight
             boxes = max(self.mesh.most_boxes, _BOXES_LEAST)
             self.probes.boxes = boxes
@@ -340,7 +340,7 @@
         began = self._loop.time()
         event(_log, "stopping", box=self.mesh.name, in_flight=self.forwarder.in_flight)
         self.mesh.state = DRAINING
-        self.gossip.tell_state()
+        self.gossip.announce_state()
         self._front.last_answers = True
         await asyncio.sleep(plan.refuse)
         self.refusing = True
--- a/dunlinnotch/daemon/gossip.py
+++ b/dunlinnotch/daemon/gossip.py
@@ -8,7 +8,7 @@
 
 from dunlinnotch._logs import event
 from dunlinnotch.errors import ProtocolError
-from dunlinnotch.transport.stream.peers import TablePort, WordPort, fetch_table
+from dunlinnotch.transport.stream.peers import GossipPort, TablePort, fetch_table
 
 if TYPE_CHECKING:
     import random
@@ -26,7 +26,7 @@
     Spawn = Callable[[Coroutine[None, None, None]], None]
 
 #: Time between two words of a box, in seconds.
-WORD_S = 0.5
+HEARTBEAT_INTERVAL_S = 0.5
 #: Time that a new box gives its peers to tell it their tables before it reads the store,
 #: and up to how much more if it hears nobody: boxes that start together are not up at once.
 _HEAR_FIRST_S = 0.12
@@ -79,7 +79,7 @@
         self._spawn = spawn
         self._rng = rng
         self._loop = asyncio.get_running_loop()
-        self._words = WordPort(self._take_word, self._take_crashes)
+        self._words = GossipPort(self._take_word, self._take_crashes)
         self._table_port = TablePort(self._tell_table)
         self._fetching: set[str] = set()
         self._crash_news: CrashNews | None = None
@@ -112,9 +112,9 @@
         while True:
             self._send_word()
             self._mesh.note_silent()
-            await asyncio.sleep(WORD_S * (0.9 + 0.2 * self._rng.random()))
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S * (0.9 + 0.2 * self._rng.random()))
 
-    async def hear_peers(self) -> None:
+    async def sync_with_peers(self) -> None:
         """Ask the seeds for what they know before the store is read."""
         began = self._loop.time()
         alone = _HEAR_ANYBODY_S * self._rng.random() if self._seeds() else 0.0
@@ -128,16 +128,16 @@
             if self._loop.time() - began >= wait:
                 return
 
-    def ask_few(self) -> None:
+    def request_updates(self) -> None:
         """Ask a few peers what has changed: their answers come within a round trip."""
         near = self._mesh.to_tell()
         self._ask(self._rng.sample(near, min(_ASKED_ON_WAKING, len(near))))
 
-    def tell_state(self) -> None:
+    def announce_state(self) -> None:
         """Tell peers at once that something changed at this box."""
         self._tell_all(self._mesh.to_tell())
 
-    def tell_answer(self, changed: bool) -> None:
+    def announce_read(self, changed: bool) -> None:
         """Tell peers at once what this box, as a reader, had from the store."""
         if changed:
             self._tell_all(self._mesh.to_tell_news())
--- a/dunlinnotch/transport/stream/peers.py
+++ b/dunlinnotch/transport/stream/peers.py
@@ -33,7 +33,7 @@
 _ASK_S = 2.0
 
 
-class WordPort(asyncio.DatagramProtocol):
+class GossipPort(asyncio.DatagramProtocol):
     """Send and receive words, and evidence on requests.
 
     Parameters
