--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -177,11 +177,11 @@
             )
             for table in self.tables.values()
         ]
-        self.wake = WakeWatch(clock=clock, outdated=self._outdated)
+        self.pause_detector = WakeWatch(clock=clock, outdated=self._outdated)
         self.text_metrics = TextMetrics(self._gauges)
         self._targets = TargetClient(adapter.targets)
         self.crashes = CrashLog(clock=elapsed)
-        self.crash_news = CrashNews(
+        self.crash_gossip = CrashNews(
             self.crashes,
             self.mesh,
             adapter.rows,
@@ -190,12 +190,12 @@
             era=lambda: max(table.era for table in self.tables.values()),
             rng=rng,
         )
-        self.gossip.join(self.crash_news, self.followers)
-        self._crash_guard = CrashGuard(self.crashes, self._targets, tell=self.crash_news.tell)
+        self.gossip.join(self.crash_gossip, self.followers)
+        self._crash_guard = CrashGuard(self.crashes, self._targets, tell=self.crash_gossip.tell)
         self.probes = ProbeShare(settings.probes_per_s, clock=clock)
         self.times = WorkTimes()
         chooser = FreshChooser(place=settings.place, times=self.times, rng=rng)
-        self.seeker = TargetSeeker(
+        self.selector = TargetSeeker(
             instances=self.instances,
             chooser=chooser,
             probes=self.probes,
@@ -207,11 +207,11 @@
         self.forwarder = Forwarder(
             routes=lambda: self.routes.table,
             age=lambda: self.mesh.age(self._settings_rows),
-            catching_up=lambda: self.wake.catching_up,
+            catching_up=lambda: self.pause_detector.catching_up,
             instances=self.instances,
             chooser=chooser,
             times=self.times,
-            seeker=self.seeker,
+            seeker=self.selector,
             make_repeats=self._make_repeats,
             guard=self._crash_guard,
             targets=self._targets,
@@ -245,7 +245,7 @@
         await self.gossip.sync_with_peers()
         for follower in self.followers:
             self._spawn(follower.run())
-        self._spawn(self.crash_news.run())
+        self._spawn(self.crash_gossip.run())
         self._spawn(self._look_after())
         await self._stop_asked.wait()
         await self._stop()
@@ -286,7 +286,7 @@
     @property
     def ready(self) -> bool:
         """Whether the box takes new work."""
-        return self.mesh.state == RUNNING and not self.wake.catching_up
+        return self.mesh.state == RUNNING and not self.pause_detector.catching_up
 
     def _spawn(self, work: Coroutine[None, None, None]) -> None:
         task = self._loop.create_task(self._guard(work))
@@ -305,7 +305,7 @@
     async def _look_after(self) -> None:
         """Keep up what depends on time."""
         while True:
-            if self.wake.look():
+            if self.pause_detector.look():
                 self.gossip.request_updates()
             if self.mesh.state not in (RUNNING, DRAINING) and self._can_serve():
                 self.mesh.state = RUNNING
@@ -325,7 +325,7 @@
 
     def _can_serve(self) -> bool:
         known = self.routes.table is not None and all(t.known for t in self.tables.values())
-        return known and self.crash_news.may_serve
+        return known and self.crash_gossip.may_serve
 
     def _outdated(self) -> bool:
         return any(self.mesh.age(table) > STALE_S for table in self.tables.values())
@@ -412,7 +412,7 @@
             "probes_denied_total": float(self.probes.denied),
             "connections_opened_total": float(self._targets.opened),
             "entries_unreadable_total": float(self._listed.unreadable + self.routes.unreadable),
-            "rests_asked_total": float(self.seeker.rests_asked),
+            "rests_asked_total": float(self.selector.rests_asked),
             "targets_ended_total": float(self._crash_guard.targets_ended),
             "requests_barred": float(self.crashes.barred),
             "store_calls_total": float(self._adapter.store_calls()),
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -208,7 +208,7 @@
 
 
 def _ready_while_stopping(self):
-    return not self.wake.catching_up and self.mesh.state != "starting"
+    return not self.pause_detector.catching_up and self.mesh.state != "starting"
 
 
 def _any_version(self, data, row_version):
