--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -68,7 +68,7 @@
         Seconds from the stop signal until the platform kills.
     probes_per_s : float
         Most probes a target may get from all boxes together.
-    repeat_ratio, repeat_slack, repeat_window : float
+    retry_ratio, retry_slack, retry_window : float
         The budget of repeats for a service.
     """
 
@@ -79,9 +79,9 @@
     seeds: tuple[Address, ...]
     grace: Seconds
     probes_per_s: float
-    repeat_ratio: float
-    repeat_slack: float
-    repeat_window: Seconds
+    retry_ratio: float
+    retry_slack: float
+    retry_window: Seconds
 
 
 @dataclass(frozen=True, slots=True)
@@ -193,8 +193,8 @@
         self.gossip.join(self.crash_gossip, self.followers)
         self._crash_guard = CrashGuard(self.crashes, self._targets, tell=self.crash_gossip.tell)
         self.probes = ProbeShare(settings.probes_per_s, clock=clock)
-        self.times = WorkTimes()
-        chooser = FreshChooser(place=settings.place, times=self.times, rng=rng)
+        self.work_times = WorkTimes()
+        chooser = FreshChooser(place=settings.place, times=self.work_times, rng=rng)
         self.selector = TargetSeeker(
             instances=self.instances,
             chooser=chooser,
@@ -210,7 +210,7 @@
             catching_up=lambda: self.pause_detector.catching_up,
             instances=self.instances,
             chooser=chooser,
-            times=self.times,
+            times=self.work_times,
             seeker=self.selector,
             make_repeats=self._make_repeats,
             guard=self._crash_guard,
@@ -264,13 +264,13 @@
         self._settings = replace(settings, **{n: getattr(self._settings, n) for n in kept})
         self.probes.per_s = settings.probes_per_s
         self.forwarder.change_repeats(
-            ratio=settings.repeat_ratio,
-            slack=settings.repeat_slack,
-            window=settings.repeat_window,
+            ratio=settings.retry_ratio,
+            slack=settings.retry_slack,
+            window=settings.retry_window,
         )
         event(_log, "reloaded", box=self.mesh.name, seeds=list(settings.seeds))
 
-    def ask_to_stop(self) -> None:
+    def request_stop(self) -> None:
         """Begin a planned stop."""
         self._stop_asked.set()
 
@@ -374,9 +374,9 @@
     def _make_repeats(self) -> RepeatShare:
         settings = self._settings
         share = RepeatShare(
-            ratio=settings.repeat_ratio,
-            slack=settings.repeat_slack,
-            window=settings.repeat_window,
+            ratio=settings.retry_ratio,
+            slack=settings.retry_slack,
+            window=settings.retry_window,
             clock=self._loop.time,
         )
         share.boxes = max(self.mesh.most_boxes, _BOXES_LEAST)
--- a/dunlinnotch/platform/settings_file.py
+++ b/dunlinnotch/platform/settings_file.py
@@ -147,9 +147,9 @@
         seeds=tuple(f"{seed.rpartition(':')[0]}:{port}" for seed in seeds),
         grace=file.time("terms.bounds.grace", 6.0),
         probes_per_s=file.number("terms.bounds.probes-per-s", 60.0),
-        repeat_ratio=file.number("terms.bounds.budget-ratio", 0.2),
-        repeat_slack=file.number("terms.bounds.budget-slack", 64.0),
-        repeat_window=file.time("terms.bounds.budget-window", 10.0),
+        retry_ratio=file.number("terms.bounds.budget-ratio", 0.2),
+        retry_slack=file.number("terms.bounds.budget-slack", 64.0),
+        retry_window=file.time("terms.bounds.budget-window", 10.0),
     )
 
 
--- a/tests/stream_world.py
+++ b/tests/stream_world.py
@@ -109,9 +109,9 @@
             seeds=seeds,
             grace=grace,
             probes_per_s=10_000.0,
-            repeat_ratio=0.2,
-            repeat_slack=640.0,
-            repeat_window=10.0,
+            retry_ratio=0.2,
+            retry_slack=640.0,
+            retry_window=10.0,
         )
         adapter = make_adapter(self.store.address)
         box = EntryBox(settings, adapter, rng=random.Random(number), dropped_lines=lambda: 0)
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -264,13 +264,13 @@
             box = world.boxes[0]
             await until(lambda: box.instances.of("loans"))
             assert (await call(box, "/lend/", "first", method="POST", body=b"x")).status == 200
-            usual = box.times.usual("lend")
+            usual = box.work_times.usual("lend")
             worker.settings.work_s = 0.0
             worker.settings.faults = [fault] * 3
             for number in range(3):
                 answer = await call(box, "/lend/", f"f{number}", method="POST", body=b"x")
                 assert answer.status >= 500
-            assert box.times.usual("lend") == usual >= 0.05
+            assert box.work_times.usual("lend") == usual >= 0.05
 
     run(test)
 
@@ -444,7 +444,7 @@
             held = asyncio.create_task(call(leaving, "/lend/", "held", method="POST", body=b"x"))
             await until(lambda: world.ran == ["held"])
             kept_reader, kept_writer = await connect(leaving)
-            leaving.ask_to_stop()
+            leaving.request_stop()
             await until(lambda: leaving.caller not in other.mesh.offered("hall-a"))
             assert not leaving.ready
             await until(lambda: leaving.refusing)
@@ -481,7 +481,7 @@
             body = b"x" if method == "POST" else b""
             held = asyncio.create_task(call(box, path, "mute", method=method, body=body))
             await until(lambda: world.ran == ["mute"])
-            box.ask_to_stop()
+            box.request_stop()
             assert (await held).status == status
             await world.tasks[0]
 
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -48,8 +48,8 @@
     assert (settings.name, settings.place) == ("front-1", "hall-a")
     assert settings.peer == "10.1.0.35:7660"
     assert settings.seeds == ("10.1.0.35:7660", "10.2.0.28:7660")
-    assert (settings.grace, settings.repeat_window) == (6.0, 1.5)
-    assert settings.repeat_slack == 64.0
+    assert (settings.grace, settings.retry_window) == (6.0, 1.5)
+    assert settings.retry_slack == 64.0
 
 
 @pytest.mark.parametrize(
