--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -23,8 +23,8 @@
 from dunlinnotch.coordination.requests.forward import Forwarder
 from dunlinnotch.coordination.settings.following import TableFollower
 from dunlinnotch.coordination.settings.store_tables import ActiveRoutes, TargetListing
-from dunlinnotch.daemon.figures import Figures
 from dunlinnotch.daemon.gossip import Gossip
+from dunlinnotch.daemon.metrics_text import TextMetrics
 from dunlinnotch.daemon.stop import StopPlan
 from dunlinnotch.state.crashes import CrashLog
 from dunlinnotch.state.followed import FollowedTable
@@ -68,7 +68,7 @@
         Seconds from the stop signal until the platform kills.
     probes_per_s : float
         Most probes a target may get from all boxes together.
-    repeat_ratio, repeat_slack, repeat_window : float
+    retry_ratio, retry_slack, retry_window : float
         The budget of repeats for a service.
     """
 
@@ -79,9 +79,9 @@
     seeds: tuple[Address, ...]
     grace: Seconds
     probes_per_s: float
-    repeat_ratio: float
-    repeat_slack: float
-    repeat_window: Seconds
+    retry_ratio: float
+    retry_slack: float
+    retry_window: Seconds
 
 
 @dataclass(frozen=True, slots=True)
@@ -173,29 +173,29 @@
         )
         self.followers = [
             TableFollower(
-                table, adapter.source, self.mesh, on_answer=self.gossip.tell_answer, rng=rng
+                table, adapter.source, self.mesh, on_answer=self.gossip.announce_read, rng=rng
             )
             for table in self.tables.values()
         ]
-        self.wake = WakeWatch(clock=clock, outdated=self._outdated)
-        self.figures = Figures(self._gauges)
+        self.pause_detector = WakeWatch(clock=clock, outdated=self._outdated)
+        self.text_metrics = TextMetrics(self._gauges)
         self._targets = TargetClient(adapter.targets)
         self.crashes = CrashLog(clock=elapsed)
-        self.crash_news = CrashNews(
+        self.crash_gossip = CrashNews(
             self.crashes,
             self.mesh,
             adapter.rows,
             send=self.gossip.send_crashes,
-            on_known=self.gossip.tell_state,
+            on_known=self.gossip.announce_state,
             era=lambda: max(table.era for table in self.tables.values()),
             rng=rng,
         )
-        self.gossip.join(self.crash_news, self.followers)
-        self._crash_guard = CrashGuard(self.crashes, self._targets, publish=self.crash_news.tell)
+        self.gossip.join(self.crash_gossip, self.followers)
+        self._crash_guard = CrashGuard(self.crashes, self._targets, publish=self.crash_gossip.tell)
         self.probes = ProbeShare(settings.probes_per_s, clock=clock)
-        self.times = WorkTimes()
-        chooser = FreshChooser(place=settings.place, times=self.times, rng=rng)
-        self.seeker = TargetSeeker(
+        self.work_times = WorkTimes()
+        chooser = FreshChooser(place=settings.place, times=self.work_times, rng=rng)
+        self.selector = TargetSeeker(
             instances=self.instances,
             chooser=chooser,
             probes=self.probes,
@@ -207,15 +207,15 @@
         self.forwarder = Forwarder(
             routes=lambda: self.routes.table,
             settings_age=lambda: self.mesh.age(self._settings_rows),
-            catching_up=lambda: self.wake.catching_up,
+            catching_up=lambda: self.pause_detector.catching_up,
             instances=self.instances,
             chooser=chooser,
-            times=self.times,
-            selector=self.seeker,
+            times=self.work_times,
+            selector=self.selector,
             make_retry_share=self._make_repeats,
             guard=self._crash_guard,
             targets=self._targets,
-            observer=self.figures,
+            observer=self.text_metrics,
             rng=rng,
         )
         self.limits = ServerLimits()
@@ -242,10 +242,10 @@
             peer=self._settings.peer,
         )
         self._spawn(self.gossip.run())
-        await self.gossip.hear_peers()
+        await self.gossip.sync_with_peers()
         for follower in self.followers:
             self._spawn(follower.run())
-        self._spawn(self.crash_news.run())
+        self._spawn(self.crash_gossip.run())
         self._spawn(self._look_after())
         await self._stop_asked.wait()
         await self._stop()
@@ -264,13 +264,13 @@
         self._settings = replace(settings, **{n: getattr(self._settings, n) for n in kept})
         self.probes.per_s = settings.probes_per_s
         self.forwarder.configure_retry_shares(
-            ratio=settings.repeat_ratio,
-            slack=settings.repeat_slack,
-            window=settings.repeat_window,
+            ratio=settings.retry_ratio,
+            slack=settings.retry_slack,
+            window=settings.retry_window,
         )
         event(_log, "reloaded", box=self.mesh.name, seeds=list(settings.seeds))
 
-    def ask_to_stop(self) -> None:
+    def request_stop(self) -> None:
         """Begin a planned stop."""
         self._stop_asked.set()
 
@@ -286,7 +286,7 @@
     @property
     def ready(self) -> bool:
         """Whether the box takes new work."""
-        return self.mesh.state == RUNNING and not self.wake.catching_up
+        return self.mesh.state == RUNNING and not self.pause_detector.catching_up
 
     def _spawn(self, work: Coroutine[None, None, None]) -> None:
         task = self._loop.create_task(self._guard(work))
@@ -305,18 +305,18 @@
     async def _look_after(self) -> None:
         """Keep up what depends on time."""
         while True:
-            if self.wake.look():
-                self.gossip.ask_few()
+            if self.pause_detector.look():
+                self.gossip.request_updates()
             if self.mesh.state not in (RUNNING, DRAINING) and self._can_serve():
                 self.mesh.state = RUNNING
                 era = self._settings_rows.era
                 event(_log, "serving", box=self.mesh.name, version=self._version(), era=era)
-                self.gossip.tell_state()
+                self.gossip.announce_state()
             self._listed.expire()
             reading = not any(follower.failing for follower in self.followers)
             if reading != self.mesh.reading:
                 self.mesh.reading = reading
-                self.gossip.tell_state()
+                self.gossip.announce_state()
             self.mesh.in_flight = self.forwarder.in_flight
             boxes = max(self.mesh.most_boxes, _BOXES_LEAST)
             self.probes.boxes = boxes
@@ -325,7 +325,7 @@
 
     def _can_serve(self) -> bool:
         known = self.routes.table is not None and all(t.known for t in self.tables.values())
-        return known and self.crash_news.may_serve
+        return known and self.crash_gossip.may_serve
 
     def _outdated(self) -> bool:
         return any(self.mesh.age(table) > STALE_S for table in self.tables.values())
@@ -340,7 +340,7 @@
         began = self._loop.time()
         event(_log, "stopping", box=self.mesh.name, in_flight=self.forwarder.in_flight)
         self.mesh.state = DRAINING
-        self.gossip.tell_state()
+        self.gossip.announce_state()
         self._front.last_answers = True
         await asyncio.sleep(plan.refuse)
         self.refusing = True
@@ -374,9 +374,9 @@
     def _make_repeats(self) -> RepeatShare:
         settings = self._settings
         share = RepeatShare(
-            ratio=settings.repeat_ratio,
-            slack=settings.repeat_slack,
-            window=settings.repeat_window,
+            ratio=settings.retry_ratio,
+            slack=settings.retry_slack,
+            window=settings.retry_window,
             clock=self._loop.time,
         )
         share.boxes = max(self.mesh.most_boxes, _BOXES_LEAST)
@@ -414,7 +414,7 @@
             "entries_unreadable_total": float(
                 self._listed.unreadable_count + self.routes.unreadable_count
             ),
-            "rests_asked_total": float(self.seeker.rests_asked),
+            "rests_asked_total": float(self.selector.rests_asked),
             "targets_ended_total": float(self._crash_guard.targets_crashed),
             "requests_barred": float(self.crashes.barred),
             "store_calls_total": float(self._adapter.store_calls()),
--- a/dunlinnotch/platform/doors.py
+++ b/dunlinnotch/platform/endpoints.py
@@ -23,7 +23,7 @@
 _TEXT = (Header("Content-Type", "text/plain; version=0.0.4"),)
 
 
-class Doors:
+class Endpoints:
     """Answer what is not a request for a worker.
 
     Parameters
@@ -45,7 +45,7 @@
             return
         place = parse_qs(query).get("zone", [""])[0]
         addresses = self._box.mesh.offered(place)[:_ADDRESSES_MOST]
-        if not addresses or self._box.wake.catching_up:
+        if not addresses or self._box.pause_detector.catching_up:
             exchange.reply(503, (Header("Retry-After", "0.2"),), b"")
             return
         body = json.dumps({"addresses": addresses, "ttl": self._ttl}).encode()
@@ -63,4 +63,4 @@
         if exchange.path.partition("?")[0] != FIGURES:
             exchange.reply(404, (), b"")
             return
-        exchange.reply(200, _TEXT, self._box.figures.text().encode())
+        exchange.reply(200, _TEXT, self._box.text_metrics.text().encode())
