--- a/dunlinnotch/coordination/membership/crash_news.py
+++ b/dunlinnotch/coordination/membership/crash_news.py
@@ -34,7 +34,7 @@
     from dunlinnotch.coordination.membership.mesh import Mesh
     from dunlinnotch.protocol.mesh import BoxWord
     from dunlinnotch.protocol.store import RowsRead, RowStore
-    from dunlinnotch.state.crashes import CrashLog, Evidence
+    from dunlinnotch.state.crashes import CrashLog, CrashRecord
     from dunlinnotch.types import Address, Seconds
 
     Send = Callable[[Iterable[SeenCrashes], Iterable[Address]], None]
@@ -117,7 +117,7 @@
 
     # -- to and from peers
 
-    def tell(self, seen: Sequence[Evidence]) -> None:
+    def tell(self, seen: Sequence[CrashRecord]) -> None:
         """Tell peers what this box has seen itself."""
         self._changed(seen, keeps=True)
 
@@ -142,7 +142,7 @@
         now = self._evidence.now
         return [as_ages(evidence, now) for evidence in self._evidence.settled]
 
-    def _changed(self, new: Sequence[Evidence], *, keeps: bool) -> None:
+    def _changed(self, new: Sequence[CrashRecord], *, keeps: bool) -> None:
         """Log what is new, pass it on, and have the bars among it kept in the store.
 
         Notes
@@ -210,7 +210,7 @@
             self._changed(new, keeps=False)
         self._now_known()
 
-    def _kept(self, read: RowsRead) -> dict[str, Evidence]:
+    def _kept(self, read: RowsRead) -> dict[str, CrashRecord]:
         """Return the evidence in rows, by this box's clock; what can't be read is logged."""
         kept = {}
         for row in read.rows:
@@ -257,16 +257,16 @@
         return self._evidence.now - KEEP_S
 
 
-def _covers(kept: Evidence | None, own: Evidence) -> bool:
+def _covers(kept: CrashRecord | None, own: CrashRecord) -> bool:
     """Return whether what is kept bars a request for as long as what this box holds does."""
     return kept is not None and kept.answers == own.answers and kept.in_turn >= own.in_turn
 
 
-def _by_store(evidence: Evidence, read: RowsRead, now: Seconds) -> SeenCrashes:
+def _by_store(evidence: CrashRecord, read: RowsRead, now: Seconds) -> SeenCrashes:
     """Return evidence with times of the store's clock."""
     return as_ages(evidence, now).counted_from(round(read.now * 1000))
 
 
-def _by_clock(kept: SeenCrashes, read: RowsRead, now: Seconds) -> Evidence:
+def _by_clock(kept: SeenCrashes, read: RowsRead, now: Seconds) -> CrashRecord:
     """Return kept evidence with times of this box's clock."""
     return from_ages(kept.counted_from(round(read.now * 1000)), now)
--- a/dunlinnotch/coordination/requests/crash_guard.py
+++ b/dunlinnotch/coordination/requests/crash_guard.py
@@ -13,7 +13,7 @@
 
     from dunlinnotch.coordination.requests.fingerprint import Fingerprint
     from dunlinnotch.protocol.relay import CallerRequest, TargetPort
-    from dunlinnotch.state.crashes import CrashLog, Evidence
+    from dunlinnotch.state.crashes import CrashLog, CrashRecord
     from dunlinnotch.state.instances import Instance
     from dunlinnotch.types import Seconds
 
@@ -52,7 +52,7 @@
     """
 
     def __init__(
-        self, log: CrashLog, targets: TargetPort, *, tell: Callable[[Sequence[Evidence]], None]
+        self, log: CrashLog, targets: TargetPort, *, tell: Callable[[Sequence[CrashRecord]], None]
     ) -> None:
         self._evidence = log
         self._targets = targets
@@ -113,7 +113,9 @@
         if new:
             self._tell(new)
 
-    def _note_end(self, key: str, ended: Mapping[str, Span], *, answered: bool) -> Evidence | None:
+    def _note_end(
+        self, key: str, ended: Mapping[str, Span], *, answered: bool
+    ) -> CrashRecord | None:
         if answered:
             return self._evidence.note_answered(key)
         return self._evidence.note_ended(key, ended) if ended else None
--- a/dunlinnotch/protocol/crashes.py
+++ b/dunlinnotch/protocol/crashes.py
@@ -9,7 +9,7 @@
 import msgpack
 
 from dunlinnotch.errors import ProtocolError
-from dunlinnotch.state.crashes import Evidence, Span
+from dunlinnotch.state.crashes import CrashRecord, Span
 
 if TYPE_CHECKING:
     from dunlinnotch.types import Seconds
@@ -36,7 +36,7 @@
     answers : int
     answered_ms : int
     targets : dict of str to SeenSpan
-        See :class:`~dunlinnotch.state.crashes.Evidence`.  Between boxes, times are ages
+        See :class:`~dunlinnotch.state.crashes.CrashRecord`.  Between boxes, times are ages
         in milliseconds, as each box has a clock of its own; in the store they are
         milliseconds of the store's clock.
     """
@@ -55,12 +55,12 @@
         return replace(self, answered_ms=moment_ms - self.answered_ms, targets=spans)
 
 
-def as_ages(evidence: Evidence, now: Seconds) -> SeenCrashes:
+def as_ages(evidence: CrashRecord, now: Seconds) -> SeenCrashes:
     """Return evidence with ages for times.
 
     Parameters
     ----------
-    evidence : Evidence
+    evidence : CrashRecord
     now : float
         By the clock of whoever holds it.
     """
@@ -75,9 +75,9 @@
     )
 
 
-def from_ages(seen: SeenCrashes, now: Seconds) -> Evidence:
+def from_ages(seen: SeenCrashes, now: Seconds) -> CrashRecord:
     """Return evidence by the receiver's own clock; nothing was seen in the future."""
-    return Evidence(
+    return CrashRecord(
         seen.request,
         seen.answers,
         _moment(now, seen.answered_ms) if seen.answers else -math.inf,
--- a/dunlinnotch/state/crashes.py
+++ b/dunlinnotch/state/crashes.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(slots=True)
-class Evidence:
+class CrashRecord:
     """What is known of one request under which targets ended.
 
     Parameters
@@ -111,7 +111,7 @@
         seen = "\0".join((self.request, str(self.answers), *sorted(self.targets)))
         return int(xxhash.xxh64_intdigest(seen.encode()))
 
-    def merge(self, other: Evidence) -> bool:
+    def merge(self, other: CrashRecord) -> bool:
         """Take in what somebody else saw of the same request; return whether it was new."""
         if other.answers < self.answers:
             return False
@@ -151,7 +151,7 @@
 
     def __init__(self, *, clock: Clock) -> None:
         self._clock = clock
-        self._seen: dict[str, Evidence] = {}
+        self._seen: dict[str, CrashRecord] = {}
         self._swept_at = -math.inf
 
     def __len__(self) -> int:
@@ -163,7 +163,7 @@
         return self._clock()
 
     @property
-    def settled(self) -> list[Evidence]:
+    def settled(self) -> list[CrashRecord]:
         """The evidence that bars a request, or takes back what others may hold."""
         now = self._clock()
         return [e for e in self._seen.values() if e.settled and e.last_at > now - KEEP_S]
@@ -182,37 +182,39 @@
             digest ^= evidence.digest
         return digest
 
-    def find(self, request: str) -> Evidence | None:
+    def find(self, request: str) -> CrashRecord | None:
         """Return the evidence on a request."""
         return self._seen.get(request)
 
-    def note_ended(self, request: str, targets: Mapping[str, Span]) -> Evidence | None:
+    def note_ended(self, request: str, targets: Mapping[str, Span]) -> CrashRecord | None:
         """Note targets that ended under a request; return the evidence if it is new."""
         return self.merge(self.with_ended(request, targets))
 
-    def with_ended(self, request: str, targets: Mapping[str, Span]) -> Evidence:
+    def with_ended(self, request: str, targets: Mapping[str, Span]) -> CrashRecord:
         """Return what would be known with further targets, without noting them."""
         known = self._seen.get(request)
-        evidence = Evidence(request, 0 if known is None else known.answers, targets=dict(targets))
+        evidence = CrashRecord(
+            request, 0 if known is None else known.answers, targets=dict(targets)
+        )
         if known is not None:
             evidence.merge(known)
         return evidence
 
-    def note_answered(self, request: str) -> Evidence | None:
+    def note_answered(self, request: str) -> CrashRecord | None:
         """Note that a target answered a request; return the evidence if that is new."""
         known = self._seen.get(request)
         if known is None or not known.targets:
             return None
-        return self.merge(Evidence(request, known.answers + 1, self._clock()))
+        return self.merge(CrashRecord(request, known.answers + 1, self._clock()))
 
-    def merge(self, other: Evidence) -> Evidence | None:
+    def merge(self, other: CrashRecord) -> CrashRecord | None:
         """Take in evidence; return all that is known of its request if some was new."""
         now = self._clock()
         if other.last_at <= now - KEEP_S:
             return None
         if now - self._swept_at >= _SWEEP_S or len(self._seen) >= _SWEEP_AT:
             self._sweep(now)
-        known = self._seen.get(other.request) or Evidence(other.request)
+        known = self._seen.get(other.request) or CrashRecord(other.request)
         if not known.merge(other):
             return None
         self._seen[other.request] = known
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -42,7 +42,7 @@
 from dunlinnotch.protocol.mesh import BoxWord
 from dunlinnotch.protocol.outcome import Outcome
 from dunlinnotch.protocol.relay import Verdict
-from dunlinnotch.state.crashes import Evidence
+from dunlinnotch.state.crashes import CrashRecord
 from dunlinnotch.state.followed import FollowedTable
 from dunlinnotch.state.instances import InstanceList, ListedTarget
 from dunlinnotch.state.ledger import Claim, ClaimStatus, KeyEntry, OnceLedger
@@ -329,7 +329,7 @@
     Mutant("keep no bar in the store", CrashNews, "_keep", _keep_nothing, CRASH_NEWS),
     Mutant(
         "count targets that ended at once",
-        Evidence,
+        CrashRecord,
         "in_turn",
         property(_all_at_once_count),
         "tests/test_crashes.py",
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -27,7 +27,7 @@
     SETTLED_MOST,
     TARGETS_MOST,
     CrashLog,
-    Evidence,
+    CrashRecord,
     Span,
 )
 
@@ -95,7 +95,7 @@
     clock = Clock()
     first, second = CrashLog(clock=clock), CrashLog(clock=clock)
     seen = first.note_ended("r", targets(BAR_AT))
-    before = Evidence("r", targets=dict(seen.targets))
+    before = CrashRecord("r", targets=dict(seen.targets))
     answered = first.note_answered("r")
     second.merge(answered)
     assert second.merge(before) is None
@@ -140,7 +140,7 @@
 def test_nothing_lapsed_is_taken_in_anew():
     clock = Clock()
     log = CrashLog(clock=clock)
-    assert log.merge(Evidence("r", targets=targets(1, at=clock.now - KEEP_S))) is None
+    assert log.merge(CrashRecord("r", targets=targets(1, at=clock.now - KEEP_S))) is None
     assert log.digest == 0
 
 
