--- a/dunlinnotch/coordination/requests/crash_guard.py
+++ b/dunlinnotch/coordination/requests/crash_guard.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from dunlinnotch._logs import event
-from dunlinnotch.state.crashes import Span
+from dunlinnotch.state.crashes import ServingSpan
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping, Sequence
@@ -32,7 +32,7 @@
 
     def __init__(self, fingerprint: Fingerprint) -> None:
         self.fingerprint = fingerprint
-        self.ended: dict[str, Span] = {}
+        self.ended: dict[str, ServingSpan] = {}
 
 
 class CrashGuard:
@@ -83,7 +83,7 @@
         ended = self._evidence.now
         if not await self._targets.has_ended(instance.address):
             return
-        suspect.ended[instance.start] = Span(ended - took, ended)
+        suspect.ended[instance.start] = ServingSpan(ended - took, ended)
         self.targets_ended += 1
         event(
             _log,
@@ -114,7 +114,7 @@
             self._tell(new)
 
     def _note_end(
-        self, key: str, ended: Mapping[str, Span], *, answered: bool
+        self, key: str, ended: Mapping[str, ServingSpan], *, answered: bool
     ) -> CrashRecord | None:
         if answered:
             return self._evidence.note_answered(key)
--- a/dunlinnotch/protocol/crashes.py
+++ b/dunlinnotch/protocol/crashes.py
@@ -9,7 +9,7 @@
 import msgpack
 
 from dunlinnotch.errors import ProtocolError
-from dunlinnotch.state.crashes import CrashRecord, Span
+from dunlinnotch.state.crashes import CrashRecord, ServingSpan
 
 if TYPE_CHECKING:
     from dunlinnotch.types import Seconds
@@ -20,7 +20,7 @@
 
 
 class SeenSpan(NamedTuple):
-    """See :class:`~dunlinnotch.state.crashes.Span`; in milliseconds."""
+    """See :class:`~dunlinnotch.state.crashes.ServingSpan`; in milliseconds."""
 
     began: int
     ended: int
@@ -82,7 +82,7 @@
         seen.answers,
         _moment(now, seen.answered_ms) if seen.answers else -math.inf,
         {
-            target: Span(_moment(now, span.began), _moment(now, span.ended))
+            target: ServingSpan(_moment(now, span.began), _moment(now, span.ended))
             for target, span in seen.targets.items()
         },
     )
--- a/dunlinnotch/state/crashes.py
+++ b/dunlinnotch/state/crashes.py
@@ -35,7 +35,7 @@
 TARGETS_MOST = 16
 
 
-class Span(NamedTuple):
+class ServingSpan(NamedTuple):
     """From when until when a target had a request under which it ended."""
 
     began: Seconds
@@ -54,7 +54,7 @@
         How often a target answered it after others had ended under it.
     answered_at : float, default -inf
         When it was last answered so.
-    targets : dict of str to Span
+    targets : dict of str to ServingSpan
         Starts of targets that ended under it since.
 
     Notes
@@ -65,7 +65,7 @@
     request: str
     answers: int = 0
     answered_at: Seconds = -math.inf
-    targets: dict[str, Span] = field(default_factory=dict)
+    targets: dict[str, ServingSpan] = field(default_factory=dict)
 
     @property
     def last_at(self) -> Seconds:
@@ -131,7 +131,7 @@
             del self.targets[target]
 
 
-def _by_end(span: Span) -> Seconds:
+def _by_end(span: ServingSpan) -> Seconds:
     return span.ended
 
 
@@ -186,11 +186,11 @@
         """Return the evidence on a request."""
         return self._seen.get(request)
 
-    def note_ended(self, request: str, targets: Mapping[str, Span]) -> CrashRecord | None:
+    def note_ended(self, request: str, targets: Mapping[str, ServingSpan]) -> CrashRecord | None:
         """Note targets that ended under a request; return the evidence if it is new."""
         return self.merge(self.with_ended(request, targets))
 
-    def with_ended(self, request: str, targets: Mapping[str, Span]) -> CrashRecord:
+    def with_ended(self, request: str, targets: Mapping[str, ServingSpan]) -> CrashRecord:
         """Return what would be known with further targets, without noting them."""
         known = self._seen.get(request)
         evidence = CrashRecord(
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -28,13 +28,15 @@
     TARGETS_MOST,
     CrashLog,
     CrashRecord,
-    Span,
+    ServingSpan,
 )
 
 
 def targets(count, first=0, *, at=10.0):
     """Return targets that ended one after the other, the last one at a moment."""
-    spans = [Span(at - 0.1 * back - 0.05, at - 0.1 * back) for back in reversed(range(count))]
+    spans = [
+        ServingSpan(at - 0.1 * back - 0.05, at - 0.1 * back) for back in reversed(range(count))
+    ]
     return {f"t{first + number}": span for number, span in enumerate(spans)}
 
 
@@ -70,10 +72,10 @@
     """A loss of power ends many targets; what many callers ask for is at all of them."""
     clock = Clock()
     log = CrashLog(clock=clock)
-    at_once = {f"t{n}": Span(9.0 + n / 100, 10.0) for n in range(2 * BAR_AT)}
+    at_once = {f"t{n}": ServingSpan(9.0 + n / 100, 10.0) for n in range(2 * BAR_AT)}
     log.note_ended("popular", at_once)
     assert log.find("popular").in_turn == 1
-    log.note_ended("popular", {"next": Span(10.001, 10.2)})
+    log.note_ended("popular", {"next": ServingSpan(10.001, 10.2)})
     assert log.find("popular").in_turn == 2
     assert log.barred_for("popular") == 0
 
