--- a/dunlinnotch/coordination/membership/crash_news.py
+++ b/dunlinnotch/coordination/membership/crash_news.py
@@ -159,7 +159,7 @@
                 known_by=evidence.request,
                 targets=sorted(evidence.targets),
                 answers=evidence.answers,
-                barred_for_s=round(self._evidence.barred_for(evidence.request), 1),
+                barred_for_s=round(self._evidence.quarantine_left(evidence.request), 1),
             )
         self._publish()
         peers = {*self._mesh.to_tell_news(), *self._mesh.to_tell_far()}
--- a/dunlinnotch/coordination/requests/crash_guard.py
+++ b/dunlinnotch/coordination/requests/crash_guard.py
@@ -62,10 +62,10 @@
     def barred_for(self, suspect: Suspect) -> Seconds:
         """Return how long a request is to be sent to no target; 0 if it may be sent."""
         if not suspect.ended:
-            return max(self._evidence.barred_for(key) for key in suspect.fingerprint)
+            return max(self._evidence.quarantine_left(key) for key in suspect.fingerprint)
         now = self._evidence.now
         known = [self._evidence.with_ended(key, suspect.ended) for key in suspect.fingerprint]
-        return max(evidence.barred_for(now) for evidence in known)
+        return max(evidence.quarantine_left(now) for evidence in known)
 
     async def look(
         self, suspect: Suspect, request: CallerRequest, instance: Instance, *, took: Seconds
--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -414,7 +414,7 @@
             "entries_unreadable_total": float(self._listed.unreadable + self.routes.unreadable),
             "rests_asked_total": float(self.seeker.rests_asked),
             "targets_ended_total": float(self._crash_guard.targets_ended),
-            "requests_barred": float(self.crashes.barred),
+            "requests_barred": float(self.crashes.quarantined),
             "store_calls_total": float(self._adapter.store_calls()),
             "store_failures_total": float(self._adapter.store_failures()),
             "settings_version": float(self._version()),
--- a/dunlinnotch/state/crashes.py
+++ b/dunlinnotch/state/crashes.py
@@ -88,7 +88,7 @@
         return count
 
     @property
-    def barred_until(self) -> Seconds:
+    def quarantined_until(self) -> Seconds:
         """Until when the request is to be sent to no target; -inf if it may be sent."""
         beyond = self.in_turn - BAR_AT
         if beyond < 0:
@@ -96,9 +96,9 @@
         last = max(span.ended for span in self.targets.values())
         return last + min(BAR_MOST_S, BAR_FIRST_S * float(2**beyond))
 
-    def barred_for(self, now: Seconds) -> Seconds:
+    def quarantine_left(self, now: Seconds) -> Seconds:
         """Return how long the request is to be sent to no target; 0 if it may be sent."""
-        return max(0.0, self.barred_until - now)
+        return max(0.0, self.quarantined_until - now)
 
     @property
     def settled(self) -> bool:
@@ -169,10 +169,10 @@
         return [e for e in self._seen.values() if e.settled and e.last_at > now - KEEP_S]
 
     @property
-    def barred(self) -> int:
+    def quarantined(self) -> int:
         """How many requests are to be sent to no target."""
         now = self._clock()
-        return sum(evidence.barred_until > now for evidence in self._seen.values())
+        return sum(evidence.quarantined_until > now for evidence in self._seen.values())
 
     @property
     def digest(self) -> int:
@@ -220,10 +220,10 @@
         self._seen[other.request] = known
         return known
 
-    def barred_for(self, request: str) -> Seconds:
+    def quarantine_left(self, request: str) -> Seconds:
         """Return how long a request is to be sent to no target; 0 if it may be sent."""
         known = self._seen.get(request)
-        return 0.0 if known is None else known.barred_for(self._clock())
+        return 0.0 if known is None else known.quarantine_left(self._clock())
 
     def _sweep(self, now: Seconds) -> None:
         """Drop what has lapsed, and what is too much.
--- a/tests/test_crash_guard.py
+++ b/tests/test_crash_guard.py
@@ -70,7 +70,7 @@
     assert crash_guard.barred_for(suspect) == 0
     look(crash_guard, suspect, "b")
     assert crash_guard.barred_for(suspect) > 0
-    assert log.barred_for("f") == 0
+    assert log.quarantine_left("f") == 0
 
 
 def test_a_request_that_was_at_the_wrong_target_and_is_answered_is_told_of_to_nobody():
@@ -97,8 +97,8 @@
         look(crash_guard, suspect, target)
         crash_guard.finished(suspect, answered=False)
         crash_guard.finished(Suspect(Fingerprint(f"query {target}", "path")), answered=True)
-    assert log.barred_for("worst query") > 0
-    assert log.barred_for("path") == 0
+    assert log.quarantine_left("worst query") > 0
+    assert log.quarantine_left("path") == 0
     assert crash_guard.barred_for(Suspect(Fingerprint("another query", "path"))) == 0
 
 
--- a/tests/test_crash_news.py
+++ b/tests/test_crash_news.py
@@ -108,7 +108,7 @@
 
     def barring(self, request="worst"):
         """Return how many boxes send a request to no target."""
-        return sum(log.barred_for(request) > 0 for log in self.logs.values())
+        return sum(log.quarantine_left(request) > 0 for log in self.logs.values())
 
 
 @pytest.mark.parametrize("count", [3, 18, 142])
@@ -154,7 +154,7 @@
     boxes.news["box-5"]._publish()
     boxes.turn()
     boxes.turn()
-    assert late.barred_for("worst") > 0
+    assert late.quarantine_left("worst") > 0
 
 
 # -- the store
@@ -202,7 +202,7 @@
         again, later, _ = alone(store, clock=7.0)
         assert again.known is False
         await work(again, lambda: again.known)
-        assert BAR_FIRST_S - 62 < later.barred_for("worst") <= BAR_FIRST_S - 60
+        assert BAR_FIRST_S - 62 < later.quarantine_left("worst") <= BAR_FIRST_S - 60
 
     asyncio.run(test())
 
@@ -315,7 +315,7 @@
         store.now += 2 * KEEP_S
         again, later, _ = alone(store)
         await work(again, lambda: again.known)
-        assert later.barred_for("old") == 0
+        assert later.quarantine_left("old") == 0
         again.tell([later.note_ended("new", TARGETS)])
         await work(again, lambda: "new" in store.rows)
         assert list(store.rows) == ["new"]
@@ -337,6 +337,6 @@
         log._seen.clear()
         boxes.clock.now += 30
         assert first.silent_places()
-        await work(boxes.news[first.name], lambda: log.barred_for("worst") > 0)
+        await work(boxes.news[first.name], lambda: log.quarantine_left("worst") > 0)
 
     asyncio.run(test())
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -44,16 +44,16 @@
     clock = Clock()
     log = CrashLog(clock=clock)
     log.note_ended("r", targets(BAR_AT - 1))
-    assert log.barred_for("r") == 0
+    assert log.quarantine_left("r") == 0
     log.note_ended("r", targets(1))
-    assert log.barred_for("r") == 0
+    assert log.quarantine_left("r") == 0
     clock.now += 5
     log.note_ended("r", targets(1, BAR_AT, at=clock.now))
-    assert log.barred_for("r") == BAR_FIRST_S
-    assert log.barred == 1
-    assert log.barred_for("another") == 0
+    assert log.quarantine_left("r") == BAR_FIRST_S
+    assert log.quarantined == 1
+    assert log.quarantine_left("another") == 0
     clock.now += BAR_FIRST_S
-    assert log.barred_for("r") == 0
+    assert log.quarantine_left("r") == 0
 
 
 def test_each_further_target_doubles_the_bar_up_to_its_most():
@@ -62,7 +62,7 @@
     bars = []
     for number in range(2 * TARGETS_MOST):
         log.note_ended("r", targets(1, number, at=clock.now))
-        bars.append(log.barred_for("r"))
+        bars.append(log.quarantine_left("r"))
         clock.now += 1
     assert bars[: BAR_AT + 2] == [0, 0, BAR_FIRST_S, 2 * BAR_FIRST_S, 4 * BAR_FIRST_S]
     assert set(bars[BAR_AT + 2 :]) == {BAR_MOST_S}
@@ -77,7 +77,7 @@
     assert log.find("popular").in_turn == 1
     log.note_ended("popular", {"next": ServingSpan(10.001, 10.2)})
     assert log.find("popular").in_turn == 2
-    assert log.barred_for("popular") == 0
+    assert log.quarantine_left("popular") == 0
 
 
 def test_an_answer_takes_back_what_was_seen_before_it():
@@ -87,10 +87,10 @@
     log.note_ended("r", targets(2))
     log.note_answered("r")
     log.note_ended("r", targets(2, 2))
-    assert log.barred_for("r") == 0
+    assert log.quarantine_left("r") == 0
     clock.now += 1
     log.note_ended("r", targets(1, 4, at=clock.now))
-    assert log.barred_for("r") == BAR_FIRST_S
+    assert log.quarantine_left("r") == BAR_FIRST_S
 
 
 def test_an_answer_counts_also_where_it_is_heard_before_what_it_takes_back():
@@ -101,7 +101,7 @@
     answered = first.note_answered("r")
     second.merge(answered)
     assert second.merge(before) is None
-    assert second.barred_for("r") == 0
+    assert second.quarantine_left("r") == 0
     assert first.digest == second.digest
 
 
@@ -113,7 +113,7 @@
         clock.now += 0.01
         log.note_ended(f"r{number}", targets(1))
     assert len(log) <= 4 * SETTLED_MOST
-    assert log.barred_for("worst") > 0
+    assert log.quarantine_left("worst") > 0
     log.note_ended("worst", targets(3 * TARGETS_MOST, at=clock.now))
     assert len(log.find("worst").targets) == TARGETS_MOST
 
@@ -234,8 +234,8 @@
         for log in self.logs:
             if log.digest == self.logs[0].digest:
                 for request in "rs":
-                    barred = log.barred_for(request) > 0
-                    assert barred == (self.logs[0].barred_for(request) > 0)
+                    barred = log.quarantine_left(request) > 0
+                    assert barred == (self.logs[0].quarantine_left(request) > 0)
 
     def teardown(self):
         """Whoever hears all ends up with the same as all others."""
