--- a/benchmarks/_boxes.py
+++ b/benchmarks/_boxes.py
@@ -7,7 +7,7 @@
 
 from dunlinnotch.coordination.membership.mesh import RUNNING, Mesh
 from dunlinnotch.protocol.mesh import pack_messages
-from dunlinnotch.state.followed import FollowedTable, TableDelta, TableRow
+from dunlinnotch.state.table_replica import FollowedTable, TableDelta, TableRow
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
--- a/dunlinnotch/coordination/membership/mesh.py
+++ b/dunlinnotch/coordination/membership/mesh.py
@@ -22,7 +22,7 @@
     import random
     from collections.abc import Iterable
 
-    from dunlinnotch.state.followed import FollowedTable
+    from dunlinnotch.state.table_replica import FollowedTable
     from dunlinnotch.types import Address, Clock, Seconds
 
 STARTING, RUNNING, DRAINING = "starting", "running", "draining"
--- a/dunlinnotch/coordination/settings/beliefs.py
+++ b/dunlinnotch/coordination/settings/beliefs.py
@@ -12,14 +12,14 @@
 
 from dunlinnotch._logs import event
 from dunlinnotch.errors import SettingsError
-from dunlinnotch.state.followed import TableRow
+from dunlinnotch.state.table_replica import TableRow
 
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from dunlinnotch.state.followed import TableDelta
     from dunlinnotch.state.instances import InstanceList, ListedTarget
     from dunlinnotch.state.routes import RouteTable
+    from dunlinnotch.state.table_replica import TableDelta
     from dunlinnotch.types import Clock
 
 #: A share of a service's targets that vanishes at once is more likely the list's fault.
--- a/dunlinnotch/coordination/settings/following.py
+++ b/dunlinnotch/coordination/settings/following.py
@@ -17,7 +17,7 @@
 
     from dunlinnotch.coordination.membership.mesh import Mesh
     from dunlinnotch.protocol.store import TableSource
-    from dunlinnotch.state.followed import FollowedTable, TableDelta
+    from dunlinnotch.state.table_replica import FollowedTable, TableDelta
     from dunlinnotch.types import Seconds
 
 #: How long a follow-up call waits for a change, by the lead reader and by others, in
--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -27,9 +27,9 @@
 from dunlinnotch.daemon.gossip import Gossip
 from dunlinnotch.daemon.stop import StopPlan
 from dunlinnotch.state.crashes import CrashLog
-from dunlinnotch.state.followed import FollowedTable
 from dunlinnotch.state.heads import Header
 from dunlinnotch.state.instances import InstanceList
+from dunlinnotch.state.table_replica import FollowedTable
 from dunlinnotch.transport.stream.client import TargetClient
 from dunlinnotch.transport.stream.server import ServerLimits, StreamServer
 
@@ -39,9 +39,9 @@
 
     from dunlinnotch.protocol.relay import CallerRequest, TargetDialect
     from dunlinnotch.protocol.store import RowStore, TableSource
-    from dunlinnotch.state.followed import TableRow
     from dunlinnotch.state.instances import ListedTarget
     from dunlinnotch.state.routes import RouteTable
+    from dunlinnotch.state.table_replica import TableRow
     from dunlinnotch.transport.stream.server import Exchange
     from dunlinnotch.types import Address, Seconds
 
--- a/dunlinnotch/daemon/gossip.py
+++ b/dunlinnotch/daemon/gossip.py
@@ -20,7 +20,7 @@
     from dunlinnotch.coordination.settings.following import TableFollower
     from dunlinnotch.protocol.crashes import SeenCrashes
     from dunlinnotch.protocol.mesh import BoxWord
-    from dunlinnotch.state.followed import FollowedTable, TableDelta
+    from dunlinnotch.state.table_replica import FollowedTable, TableDelta
     from dunlinnotch.types import Address, Seconds
 
     Spawn = Callable[[Coroutine[None, None, None]], None]
--- a/dunlinnotch/platform/store.py
+++ b/dunlinnotch/platform/store.py
@@ -12,7 +12,7 @@
 from dunlinnotch.errors import PlatformUnavailableError, SettingsError
 from dunlinnotch.platform import units
 from dunlinnotch.protocol.store import HistoryGone, RowsChange, RowsRead
-from dunlinnotch.state.followed import TableDelta, TableRow
+from dunlinnotch.state.table_replica import TableDelta, TableRow
 from dunlinnotch.transport.stream.common import find
 from dunlinnotch.transport.stream.fetch import Fetched, Fetcher
 
--- a/dunlinnotch/protocol/mesh.py
+++ b/dunlinnotch/protocol/mesh.py
@@ -14,7 +14,7 @@
 
 from dunlinnotch.errors import ProtocolError
 from dunlinnotch.protocol.crashes import CRASHES_FORMAT, SeenCrashes, pack_crashes, read_crashes
-from dunlinnotch.state.followed import TableDelta, TableRow
+from dunlinnotch.state.table_replica import TableDelta, TableRow
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
--- a/dunlinnotch/protocol/store.py
+++ b/dunlinnotch/protocol/store.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING, Protocol
 
 if TYPE_CHECKING:
-    from dunlinnotch.state.followed import TableDelta, TableRow
+    from dunlinnotch.state.table_replica import TableDelta, TableRow
     from dunlinnotch.types import Seconds
 
 
--- a/dunlinnotch/transport/stream/peers.py
+++ b/dunlinnotch/transport/stream/peers.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
 
-    from dunlinnotch.state.followed import TableDelta
+    from dunlinnotch.state.table_replica import TableDelta
     from dunlinnotch.types import Address, Seconds
 
     #: Given a table, a version and its era, returns the changes since and their age in ms.
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -43,9 +43,9 @@
 from dunlinnotch.protocol.outcome import Outcome
 from dunlinnotch.protocol.relay import Verdict
 from dunlinnotch.state.crashes import CrashRecord
-from dunlinnotch.state.followed import FollowedTable
 from dunlinnotch.state.instances import InstanceList, ListedTarget
 from dunlinnotch.state.ledger import Claim, ClaimStatus, KeyEntry, OnceLedger
+from dunlinnotch.state.table_replica import FollowedTable
 from dunlinnotch.state.targets import TargetRecord
 from dunlinnotch.state.tree import SettingsTree
 from dunlinnotch.transport.targets import ConnectionPools
@@ -362,7 +362,7 @@
         FollowedTable,
         "since",
         _since_without_floor,
-        "tests/test_followed.py",
+        "tests/test_table_replica.py",
     ),
     Mutant(
         "go back to older settings",
@@ -407,7 +407,7 @@
         FollowedTable,
         "take",
         _any_era,
-        "tests/test_followed.py",
+        "tests/test_table_replica.py",
     ),
     Mutant(
         "keep a bar in the store only once",
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -4,9 +4,9 @@
 
 from dunlinnotch.coordination.settings.beliefs import LAPSE_S, RoutesInForce, TargetsListed
 from dunlinnotch.errors import SettingsError
-from dunlinnotch.state.followed import TableDelta, TableRow
 from dunlinnotch.state.instances import InstanceList, ListedTarget
 from dunlinnotch.state.routes import CallerLimits, RouteTable
+from dunlinnotch.state.table_replica import TableDelta, TableRow
 
 
 class Clock:
--- a/tests/test_crash_news.py
+++ b/tests/test_crash_news.py
@@ -13,7 +13,7 @@
 from dunlinnotch.protocol.mesh import pack_messages
 from dunlinnotch.protocol.store import RowsRead
 from dunlinnotch.state.crashes import BAR_AT, BAR_FIRST_S, KEEP_S, CrashLog
-from dunlinnotch.state.followed import TableRow
+from dunlinnotch.state.table_replica import TableRow
 from tests.test_crashes import targets
 
 TARGETS = targets(BAR_AT)
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -13,7 +13,7 @@
 from dunlinnotch.coordination.settings.following import TableFollower
 from dunlinnotch.errors import PlatformUnavailableError
 from dunlinnotch.protocol.store import HistoryGone
-from dunlinnotch.state.followed import FollowedTable, TableDelta, TableRow
+from dunlinnotch.state.table_replica import FollowedTable, TableDelta, TableRow
 from tests.stream_world import until
 
 
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -18,7 +18,7 @@
 )
 from dunlinnotch.errors import ProtocolError
 from dunlinnotch.protocol.mesh import pack_delta, pack_messages, unpack_delta, unpack_messages
-from dunlinnotch.state.followed import FollowedTable, TableDelta, TableRow
+from dunlinnotch.state.table_replica import FollowedTable, TableDelta, TableRow
 
 
 def box(name, clock, *, place="hall-a", incarnation=1, version=5):
--- a/tests/test_followed.py
+++ b/tests/test_table_replica.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from dunlinnotch.state.followed import FollowedTable, TableDelta, TableRow
+from dunlinnotch.state.table_replica import FollowedTable, TableDelta, TableRow
 
 KEYS = st.sampled_from("abcde")
 
@@ -157,7 +157,7 @@
 
 
 def test_what_went_is_told_until_it_is_forgotten(monkeypatch):
-    monkeypatch.setattr("dunlinnotch.state.followed.GONE_KEPT", 2)
+    monkeypatch.setattr("dunlinnotch.state.table_replica.GONE_KEPT", 2)
     table = FollowedTable("t", lambda _: None)
     rows = tuple(TableRow(f"k{n}", n, b"x") for n in range(1, 6))
     table.take(TableDelta("t", 5, True, rows), at=1.0)
