--- a/benchmarks/_boxes.py
+++ b/benchmarks/_boxes.py
@@ -7,7 +7,7 @@
 
 from dunlinnotch.coordination.membership.mesh import RUNNING, Mesh
 from dunlinnotch.protocol.mesh import pack_messages
-from dunlinnotch.state.table_replica import FollowedTable, TableDelta, TableRow
+from dunlinnotch.state.table_replica import TableDelta, TableReplica, TableRow
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -51,7 +51,7 @@
         self.clock = Clock()
         self.rng = random.Random(seed)
         self.lost = lost
-        self.tables: dict[str, FollowedTable] = {}
+        self.tables: dict[str, TableReplica] = {}
         self.meshes: dict[str, Mesh] = {}
         self.sent = 0
         self.sent_bytes = 0
@@ -59,7 +59,7 @@
             self._add(f"box-{number}", PLACES[number % len(PLACES)])
 
     def _add(self, name: str, place: str) -> None:
-        table = FollowedTable("t", lambda _: None)
+        table = TableReplica("t", lambda _: None)
         mesh = Mesh(
             name=name,
             place=place,
--- a/dunlinnotch/coordination/membership/mesh.py
+++ b/dunlinnotch/coordination/membership/mesh.py
@@ -22,7 +22,7 @@
     import random
     from collections.abc import Iterable
 
-    from dunlinnotch.state.table_replica import FollowedTable
+    from dunlinnotch.state.table_replica import TableReplica
     from dunlinnotch.types import Address, Clock, Seconds
 
 STARTING, RUNNING, DRAINING = "starting", "running", "draining"
@@ -57,7 +57,7 @@
     incarnation : int
     caller, peer : str
         This box's own addresses.
-    tables : iterable of FollowedTable
+    tables : iterable of TableReplica
     clock : callable
     rng : random.Random
         Draws whom to tell.
@@ -71,7 +71,7 @@
         incarnation: int,
         caller: Address,
         peer: Address,
-        tables: Iterable[FollowedTable],
+        tables: Iterable[TableReplica],
         clock: Clock,
         rng: random.Random,
     ) -> None:
@@ -306,7 +306,7 @@
             if table.known or not patient
         )
 
-    def age(self, table: FollowedTable) -> Seconds:
+    def age(self, table: TableReplica) -> Seconds:
         """Return the seconds since a table was known to be all that there is."""
         if table.verified_at is None:
             return float("inf")
--- a/dunlinnotch/coordination/settings/following.py
+++ b/dunlinnotch/coordination/settings/following.py
@@ -17,7 +17,7 @@
 
     from dunlinnotch.coordination.membership.mesh import Mesh
     from dunlinnotch.protocol.store import TableSource
-    from dunlinnotch.state.table_replica import FollowedTable, TableDelta
+    from dunlinnotch.state.table_replica import TableDelta, TableReplica
     from dunlinnotch.types import Seconds
 
 #: How long a follow-up call waits for a change, by the lead reader and by others, in
@@ -48,7 +48,7 @@
 
     Parameters
     ----------
-    table : FollowedTable
+    table : TableReplica
     source : TableSource
     mesh : Mesh
     on_answer : callable
@@ -58,7 +58,7 @@
 
     def __init__(
         self,
-        table: FollowedTable,
+        table: TableReplica,
         source: TableSource,
         mesh: Mesh,
         *,
--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -29,7 +29,7 @@
 from dunlinnotch.state.crashes import CrashLog
 from dunlinnotch.state.heads import Header
 from dunlinnotch.state.instances import InstanceList
-from dunlinnotch.state.table_replica import FollowedTable
+from dunlinnotch.state.table_replica import TableReplica
 from dunlinnotch.transport.stream.client import TargetClient
 from dunlinnotch.transport.stream.server import ServerLimits, StreamServer
 
@@ -149,8 +149,8 @@
             adapter.read_settings, key=adapter.settings_key, on_change=self._on_routes
         )
         self._listed = TargetsListed(adapter.read_target, self.instances, clock=clock)
-        self._settings_rows = FollowedTable(adapter.settings_table, self.routes.take)
-        self._target_rows = FollowedTable(adapter.targets_table, self._take_targets)
+        self._settings_rows = TableReplica(adapter.settings_table, self.routes.take)
+        self._target_rows = TableReplica(adapter.targets_table, self._take_targets)
         self.tables = {t.name: t for t in (self._settings_rows, self._target_rows)}
         self.mesh = Mesh(
             name=settings.name,
--- a/dunlinnotch/daemon/gossip.py
+++ b/dunlinnotch/daemon/gossip.py
@@ -20,7 +20,7 @@
     from dunlinnotch.coordination.settings.following import TableFollower
     from dunlinnotch.protocol.crashes import SeenCrashes
     from dunlinnotch.protocol.mesh import BoxWord
-    from dunlinnotch.state.table_replica import FollowedTable, TableDelta
+    from dunlinnotch.state.table_replica import TableDelta, TableReplica
     from dunlinnotch.types import Address, Seconds
 
     Spawn = Callable[[Coroutine[None, None, None]], None]
@@ -48,7 +48,7 @@
     Parameters
     ----------
     mesh : Mesh
-    tables : sequence of FollowedTable
+    tables : sequence of TableReplica
         What a peer may lack, or have further than this box.
     routes : RoutesInForce
     settings_table : str
@@ -63,7 +63,7 @@
     def __init__(
         self,
         mesh: Mesh,
-        tables: Sequence[FollowedTable],
+        tables: Sequence[TableReplica],
         routes: RoutesInForce,
         *,
         settings_table: str,
--- a/dunlinnotch/state/table_replica.py
+++ b/dunlinnotch/state/table_replica.py
@@ -56,7 +56,7 @@
     era: int | None = None
 
 
-class FollowedTable:
+class TableReplica:
     """Rows of one table, which only ever move to a higher version or a later era.
 
     Parameters
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -45,7 +45,7 @@
 from dunlinnotch.state.crashes import CrashRecord
 from dunlinnotch.state.instances import InstanceList, ListedTarget
 from dunlinnotch.state.ledger import Claim, ClaimStatus, KeyEntry, OnceLedger
-from dunlinnotch.state.table_replica import FollowedTable
+from dunlinnotch.state.table_replica import TableReplica
 from dunlinnotch.state.targets import TargetRecord
 from dunlinnotch.state.tree import SettingsTree
 from dunlinnotch.transport.targets import ConnectionPools
@@ -189,14 +189,14 @@
     return _since(self, version, era)
 
 
-_since = FollowedTable.since
+_since = TableReplica.since
 
 
 def _any_era(self, delta, *, at):
     return _take_delta(self, replace(delta, era=self.era), at=at)
 
 
-_take_delta = FollowedTable.take
+_take_delta = TableReplica.take
 
 
 def _keep_once(self):
@@ -359,7 +359,7 @@
     Mutant("let no target leave", InstanceList, "_take_leaving", _leave_nothing, ENTRY),
     Mutant(
         "tell a peer only what one saw",
-        FollowedTable,
+        TableReplica,
         "since",
         _since_without_floor,
         "tests/test_table_replica.py",
@@ -404,7 +404,7 @@
     ),
     Mutant(
         "read on through a store that went back",
-        FollowedTable,
+        TableReplica,
         "take",
         _any_era,
         "tests/test_table_replica.py",
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -13,7 +13,7 @@
 from dunlinnotch.coordination.settings.following import TableFollower
 from dunlinnotch.errors import PlatformUnavailableError
 from dunlinnotch.protocol.store import HistoryGone
-from dunlinnotch.state.table_replica import FollowedTable, TableDelta, TableRow
+from dunlinnotch.state.table_replica import TableDelta, TableReplica, TableRow
 from tests.stream_world import until
 
 
@@ -48,7 +48,7 @@
 
     async def bounded():
         source = Source()
-        table = FollowedTable("t", lambda _: None)
+        table = TableReplica("t", lambda _: None)
         mesh = Mesh(
             name="a",
             place="p",
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -18,11 +18,11 @@
 )
 from dunlinnotch.errors import ProtocolError
 from dunlinnotch.protocol.mesh import pack_delta, pack_messages, unpack_delta, unpack_messages
-from dunlinnotch.state.table_replica import FollowedTable, TableDelta, TableRow
+from dunlinnotch.state.table_replica import TableDelta, TableReplica, TableRow
 
 
 def box(name, clock, *, place="hall-a", incarnation=1, version=5):
-    table = FollowedTable("t", lambda _: None)
+    table = TableReplica("t", lambda _: None)
     if version:
         row = TableRow("k", version, b"v")
         table.take(TableDelta("t", version, True, (row,)), at=clock.now)
--- a/tests/test_table_replica.py
+++ b/tests/test_table_replica.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from dunlinnotch.state.table_replica import FollowedTable, TableDelta, TableRow
+from dunlinnotch.state.table_replica import TableDelta, TableReplica, TableRow
 
 KEYS = st.sampled_from("abcde")
 
@@ -30,7 +30,7 @@
         self.late: list[TableDelta] = []
         self.words: list[tuple[int, int, int, float]] = []
         self.seen: list[dict[str, bytes]] = [{}, {}, {}]
-        self.boxes = [FollowedTable("t", self._watcher(n)) for n in range(3)]
+        self.boxes = [TableReplica("t", self._watcher(n)) for n in range(3)]
 
     def _watcher(self, number):
         def watch(rows):
@@ -158,7 +158,7 @@
 
 def test_what_went_is_told_until_it_is_forgotten(monkeypatch):
     monkeypatch.setattr("dunlinnotch.state.table_replica.GONE_KEPT", 2)
-    table = FollowedTable("t", lambda _: None)
+    table = TableReplica("t", lambda _: None)
     rows = tuple(TableRow(f"k{n}", n, b"x") for n in range(1, 6))
     table.take(TableDelta("t", 5, True, rows), at=1.0)
     gone = tuple(TableRow(f"k{n}", n + 5, None) for n in range(1, 5))
@@ -175,7 +175,7 @@
     Asked by a peer that still holds such a row, it must tell all it has
     rather than what it saw change.
     """
-    old, new = FollowedTable("t", lambda _: None), FollowedTable("t", lambda _: None)
+    old, new = TableReplica("t", lambda _: None), TableReplica("t", lambda _: None)
     old.take(TableDelta("t", 1, True, (TableRow("b", 1, b"x"),)), at=1.0)
     new.take(TableDelta("t", 2, True, ()), at=2.0)
     assert old.take(new.since(1), at=2.0)
@@ -183,7 +183,7 @@
 
 
 def test_an_old_delta_changes_nothing_and_proves_nothing_fresh():
-    table = FollowedTable("t", lambda _: None)
+    table = TableReplica("t", lambda _: None)
     table.take(TableDelta("t", 5, True, (TableRow("a", 5, b"new"),)), at=1.0)
     assert not table.take(TableDelta("t", 4, True, (TableRow("a", 4, b"old"),)), at=9.0)
     assert table.rows == [TableRow("a", 5, b"new")]
@@ -197,7 +197,7 @@
     fetch an empty change of the other, and readers took calls that rightly
     waited for hung ones.
     """
-    first, second = FollowedTable("t", lambda _: None), FollowedTable("t", lambda _: None)
+    first, second = TableReplica("t", lambda _: None), TableReplica("t", lambda _: None)
     row = TableRow("a", 5, b"x")
     for table in (first, second):
         table.take(TableDelta("t", 5, True, (row,)), at=1.0)
@@ -212,7 +212,7 @@
 
 def test_a_later_era_is_taken_over_whole_or_not_at_all():
     told = []
-    table = FollowedTable("t", told.extend)
+    table = TableReplica("t", told.extend)
     rows = (TableRow("a", 3, b"a"), TableRow("b", 9, b"b"))
     table.take(TableDelta("t", 9, True, rows, era=1), at=1.0)
     told.clear()
@@ -227,7 +227,7 @@
 
 
 def test_a_peer_of_an_earlier_era_is_told_all():
-    table = FollowedTable("t", lambda _: None)
+    table = TableReplica("t", lambda _: None)
     table.take(TableDelta("t", 5, True, (TableRow("a", 3, b"a"),), era=2), at=1.0)
     table.take(TableDelta("t", 6, False, (TableRow("b", 6, b"b"),), era=2), at=1.0)
     assert not table.since(5, era=2).whole
