--- a/benchmarks/_boxes.py
+++ b/benchmarks/_boxes.py
@@ -104,7 +104,7 @@
     def _fetch(self, name: str, teller: str) -> None:
         mine, theirs = self.tables[name], self.tables[teller]
         assert theirs.verified_at is not None
-        mine.take(theirs.since(mine.version), at=theirs.verified_at)
+        mine.apply(theirs.since(mine.version), at=theirs.verified_at)
 
     def hello(self) -> None:
         """Have each box ask the seeds whom to know."""
@@ -128,7 +128,7 @@
         """Have the lead read a new version and tell it, as a reader does."""
         lead = next(m for m in self.meshes.values() if m.is_lead())
         row = TableRow("k", version, b"v")
-        self.tables[lead.name].take(TableDelta("t", version, True, (row,)), at=self.clock.now)
+        self.tables[lead.name].apply(TableDelta("t", version, True, (row,)), at=self.clock.now)
         self.tell(lead, lead.to_tell_news())
 
     def settled(self) -> Boxes:
--- a/dunlinnotch/coordination/membership/mesh.py
+++ b/dunlinnotch/coordination/membership/mesh.py
@@ -197,7 +197,7 @@
             if table is None or not table.known or state.age_ms < 0:
                 continue
             at = now - state.age_ms / 1000
-            table.take_same(state.changed, state.version, at=at, era=state.era)
+            table.confirm(state.changed, state.version, at=at, era=state.era)
 
     def newer(self, word: BoxWord) -> list[str]:
         """Return the tables that the sender of a word knows further than this box."""
--- a/dunlinnotch/coordination/settings/following.py
+++ b/dunlinnotch/coordination/settings/following.py
@@ -152,7 +152,7 @@
             self._note_older(delta)
             return False
         at = max(sent, self._loop.time() - _ANSWER_AGE_S)
-        self._on_answer(table.take(delta, at=at))
+        self._on_answer(table.apply(delta, at=at))
         return True
 
     async def _changes(self) -> TableDelta | None:
--- a/dunlinnotch/daemon/gossip.py
+++ b/dunlinnotch/daemon/gossip.py
@@ -213,7 +213,7 @@
             return
         finally:
             self._fetching.discard(table)
-        if age_ms >= 0 and followed.take(delta, at=sent - age_ms / 1000):
+        if age_ms >= 0 and followed.apply(delta, at=sent - age_ms / 1000):
             event(_log, "table-fetched", table=table, peer=peer, version=delta.version)
             self._words.send([self._mesh.own_word()], self._mesh.to_tell_news())
             for follower in self._followers:
--- a/dunlinnotch/state/table_replica.py
+++ b/dunlinnotch/state/table_replica.py
@@ -103,7 +103,7 @@
         """Note that the store held no more than this at ``at``."""
         self.verified_at = at if self.verified_at is None else max(self.verified_at, at)
 
-    def take_same(self, changed: int, version: int, *, at: Seconds, era: int = 0) -> bool:
+    def confirm(self, changed: int, version: int, *, at: Seconds, era: int = 0) -> bool:
         """Take over how far a peer knows the table, if it holds the same rows.
 
         Parameters
@@ -131,7 +131,7 @@
             self.verify(at)
         return True
 
-    def take(self, delta: TableDelta, *, at: Seconds) -> bool:
+    def apply(self, delta: TableDelta, *, at: Seconds) -> bool:
         """Take in what a store or peer says was so at ``at``.
 
         Returns
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -196,7 +196,7 @@
     return _take_delta(self, replace(delta, era=self.era), at=at)
 
 
-_take_delta = TableReplica.take
+_take_delta = TableReplica.apply
 
 
 def _keep_once(self):
@@ -405,7 +405,7 @@
     Mutant(
         "read on through a store that went back",
         TableReplica,
-        "take",
+        "apply",
         _any_era,
         "tests/test_table_replica.py",
     ),
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -125,7 +125,7 @@
     async def test(source, table, follower, news):
         await until(lambda: source.asked == [1])
         # A peer tells version 4; the call that hangs should have told it as well.
-        table.take(TableDelta("t", 4, False, (TableRow("k", 4, b"x"),)), at=0.0)
+        table.apply(TableDelta("t", 4, False, (TableRow("k", 4, b"x"),)), at=0.0)
         follower.look_again()
         await until(lambda: source.asked == [1, 4])
 
@@ -136,7 +136,7 @@
     """It can't be followed, but it must not be read without end either."""
 
     async def test(source, table, follower, news):
-        table.take(replace(source.whole(), version=9, era=3), at=0.0)
+        table.apply(replace(source.whole(), version=9, era=3), at=0.0)
         source.whole = lambda: TableDelta("t", 20, True, (TableRow("k", 20, b"w"),), era=1)
 
         async def gone(table, after, wait):
@@ -171,7 +171,7 @@
     async def test(source, table, follower, news):
         source.answers = ["hang"]
         await until(lambda: source.asked == [1])
-        table.take(TableDelta("t", 7, False, ()), at=1.0)
+        table.apply(TableDelta("t", 7, False, ()), at=1.0)
         follower.look_again()
         await asyncio.sleep(following._BEHIND_S * 2)
         assert source.asked == [1]
--- a/tests/test_table_replica.py
+++ b/tests/test_table_replica.py
@@ -94,14 +94,14 @@
         if keep:
             self.late.append(delta)
         else:
-            table.take(delta, at=float(self.moment))
+            table.apply(delta, at=float(self.moment))
 
     @rule(box=st.integers(0, 2), data=st.data())
     def late_answer(self, box, data):
         """An answer that was long on its way: only a whole one fits a box that moved on."""
         whole = [delta for delta in self.late if delta.whole]
         if whole:
-            self.boxes[box].take(data.draw(st.sampled_from(whole)), at=0.0)
+            self.boxes[box].apply(data.draw(st.sampled_from(whole)), at=0.0)
 
     @rule(asker=st.integers(0, 2), teller=st.integers(0, 2))
     def fetch(self, asker, teller):
@@ -109,7 +109,7 @@
             version = self.boxes[asker].version if self.boxes[asker].known else 0
             known = self.boxes[teller]
             delta = known.since(version, self.boxes[asker].era)
-            self.boxes[asker].take(delta, at=known.verified_at)
+            self.boxes[asker].apply(delta, at=known.verified_at)
 
     @rule(teller=st.integers(0, 2))
     def speak(self, teller):
@@ -123,7 +123,7 @@
         if self.words:
             changed, version, era, at = data.draw(st.sampled_from(self.words))
             table = self.boxes[box]
-            same = table.take_same(changed, version, at=at, era=era)
+            same = table.confirm(changed, version, at=at, era=era)
             assert same or not table.known or (table.era, table.version) < (era, changed)
 
     @invariant()
@@ -160,9 +160,9 @@
     monkeypatch.setattr("dunlinnotch.state.table_replica.GONE_KEPT", 2)
     table = TableReplica("t", lambda _: None)
     rows = tuple(TableRow(f"k{n}", n, b"x") for n in range(1, 6))
-    table.take(TableDelta("t", 5, True, rows), at=1.0)
+    table.apply(TableDelta("t", 5, True, rows), at=1.0)
     gone = tuple(TableRow(f"k{n}", n + 5, None) for n in range(1, 5))
-    table.take(TableDelta("t", 9, False, gone), at=2.0)
+    table.apply(TableDelta("t", 9, False, gone), at=2.0)
     assert not table.since(8).whole
     assert [row.key for row in table.since(8).rows] == ["k4"]
     assert table.since(5).whole
@@ -176,16 +176,16 @@
     rather than what it saw change.
     """
     old, new = TableReplica("t", lambda _: None), TableReplica("t", lambda _: None)
-    old.take(TableDelta("t", 1, True, (TableRow("b", 1, b"x"),)), at=1.0)
-    new.take(TableDelta("t", 2, True, ()), at=2.0)
-    assert old.take(new.since(1), at=2.0)
+    old.apply(TableDelta("t", 1, True, (TableRow("b", 1, b"x"),)), at=1.0)
+    new.apply(TableDelta("t", 2, True, ()), at=2.0)
+    assert old.apply(new.since(1), at=2.0)
     assert old.rows == []
 
 
 def test_an_old_delta_changes_nothing_and_proves_nothing_fresh():
     table = TableReplica("t", lambda _: None)
-    table.take(TableDelta("t", 5, True, (TableRow("a", 5, b"new"),)), at=1.0)
-    assert not table.take(TableDelta("t", 4, True, (TableRow("a", 4, b"old"),)), at=9.0)
+    table.apply(TableDelta("t", 5, True, (TableRow("a", 5, b"new"),)), at=1.0)
+    assert not table.apply(TableDelta("t", 4, True, (TableRow("a", 4, b"old"),)), at=9.0)
     assert table.rows == [TableRow("a", 5, b"new")]
     assert table.verified_at == 1.0
 
@@ -200,13 +200,13 @@
     first, second = TableReplica("t", lambda _: None), TableReplica("t", lambda _: None)
     row = TableRow("a", 5, b"x")
     for table in (first, second):
-        table.take(TableDelta("t", 5, True, (row,)), at=1.0)
-    first.take(TableDelta("t", 9, False, ()), at=4.0)
+        table.apply(TableDelta("t", 5, True, (row,)), at=1.0)
+    first.apply(TableDelta("t", 9, False, ()), at=4.0)
     assert (first.version, first.changed) == (9, 5)
-    assert second.take_same(first.changed, first.version, at=4.0)
+    assert second.confirm(first.changed, first.version, at=4.0)
     assert (second.version, second.changed, second.verified_at) == (9, 5, 4.0)
-    first.take(TableDelta("t", 12, False, (TableRow("a", 11, b"y"),)), at=5.0)
-    assert not second.take_same(first.changed, first.version, at=5.0)
+    first.apply(TableDelta("t", 12, False, (TableRow("a", 11, b"y"),)), at=5.0)
+    assert not second.confirm(first.changed, first.version, at=5.0)
     assert second.verified_at == 4.0
 
 
@@ -214,22 +214,22 @@
     told = []
     table = TableReplica("t", told.extend)
     rows = (TableRow("a", 3, b"a"), TableRow("b", 9, b"b"))
-    table.take(TableDelta("t", 9, True, rows, era=1), at=1.0)
+    table.apply(TableDelta("t", 9, True, rows, era=1), at=1.0)
     told.clear()
     change = TableDelta("t", 12, False, (TableRow("c", 12, b"c"),), era=2)
-    assert not table.take(change, at=2.0)
+    assert not table.apply(change, at=2.0)
     assert (table.era, table.version, table.verified_at) == (1, 9, 1.0)
-    assert table.take(TableDelta("t", 5, True, (TableRow("a", 3, b"a"),), era=2), at=3.0)
+    assert table.apply(TableDelta("t", 5, True, (TableRow("a", 3, b"a"),), era=2), at=3.0)
     assert (table.era, table.version, table.verified_at) == (2, 5, 3.0)
     assert told == [TableRow("b", 5, None, lost=True)]
-    assert not table.take(TableDelta("t", 20, True, rows, era=1), at=4.0)
+    assert not table.apply(TableDelta("t", 20, True, rows, era=1), at=4.0)
     assert table.rows == [TableRow("a", 3, b"a")]
 
 
 def test_a_peer_of_an_earlier_era_is_told_all():
     table = TableReplica("t", lambda _: None)
-    table.take(TableDelta("t", 5, True, (TableRow("a", 3, b"a"),), era=2), at=1.0)
-    table.take(TableDelta("t", 6, False, (TableRow("b", 6, b"b"),), era=2), at=1.0)
+    table.apply(TableDelta("t", 5, True, (TableRow("a", 3, b"a"),), era=2), at=1.0)
+    table.apply(TableDelta("t", 6, False, (TableRow("b", 6, b"b"),), era=2), at=1.0)
     assert not table.since(5, era=2).whole
     told = table.since(40, era=1)
     assert told.whole
