--- a/benchmarks/_boxes.py
+++ b/benchmarks/_boxes.py
@@ -104,7 +104,7 @@
     def _fetch(self, name: str, teller: str) -> None:
         mine, theirs = self.tables[name], self.tables[teller]
         assert theirs.verified_at is not None
-        mine.apply(theirs.since(mine.version), at=theirs.verified_at)
+        mine.apply(theirs.delta_since(mine.version), at=theirs.verified_at)
 
     def hello(self) -> None:
         """Have each box ask the seeds whom to know."""
--- a/dunlinnotch/daemon/gossip.py
+++ b/dunlinnotch/daemon/gossip.py
@@ -221,7 +221,7 @@
 
     def _tell_table(self, table: str, version: int, era: int) -> tuple[TableDelta, int]:
         followed = self._tables[table]
-        delta = followed.since(version, era)
+        delta = followed.delta_since(version, era)
         if table == self._settings_table:
             delta = self._routes.told(delta)
         age: Seconds = self._mesh.age(followed)
--- a/dunlinnotch/state/table_replica.py
+++ b/dunlinnotch/state/table_replica.py
@@ -186,7 +186,7 @@
             self.changed = max(before, delta.changed, *(row.version for row in delta.rows), 0)
         self.era, self.version = era, delta.version
 
-    def since(self, version: int, era: int = 0) -> TableDelta:
+    def delta_since(self, version: int, era: int = 0) -> TableDelta:
         """Return what changed after a version; everything if that is not known."""
         if era != self.era or version < self._gone_floor or version <= 0:
             rows = list(self._rows.values())
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -189,7 +189,7 @@
     return _since(self, version, era)
 
 
-_since = TableReplica.since
+_since = TableReplica.delta_since
 
 
 def _any_era(self, delta, *, at):
@@ -360,7 +360,7 @@
     Mutant(
         "tell a peer only what one saw",
         TableReplica,
-        "since",
+        "delta_since",
         _since_without_floor,
         "tests/test_table_replica.py",
     ),
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -133,7 +133,7 @@
     mesh.take(teller.own_word())
     assert mesh.age(table) == pytest.approx(1.0)
     assert mesh.newer(teller.own_word()) == ["t"]
-    table.apply(told.since(4), at=clock.now - 0.5)
+    table.apply(told.delta_since(4), at=clock.now - 0.5)
     mesh.take(teller.own_word())
     assert mesh.age(table) == pytest.approx(0.0, abs=0.002)
     assert mesh.newer(teller.own_word()) == []
--- a/tests/test_table_replica.py
+++ b/tests/test_table_replica.py
@@ -108,7 +108,7 @@
         if self.boxes[teller].known and asker != teller:
             version = self.boxes[asker].version if self.boxes[asker].known else 0
             known = self.boxes[teller]
-            delta = known.since(version, self.boxes[asker].era)
+            delta = known.delta_since(version, self.boxes[asker].era)
             self.boxes[asker].apply(delta, at=known.verified_at)
 
     @rule(teller=st.integers(0, 2))
@@ -163,10 +163,10 @@
     table.apply(TableDelta("t", 5, True, rows), at=1.0)
     gone = tuple(TableRow(f"k{n}", n + 5, None) for n in range(1, 5))
     table.apply(TableDelta("t", 9, False, gone), at=2.0)
-    assert not table.since(8).whole
-    assert [row.key for row in table.since(8).rows] == ["k4"]
-    assert table.since(5).whole
-    assert [row.key for row in table.since(5).rows] == ["k5"]
+    assert not table.delta_since(8).whole
+    assert [row.key for row in table.delta_since(8).rows] == ["k4"]
+    assert table.delta_since(5).whole
+    assert [row.key for row in table.delta_since(5).rows] == ["k5"]
 
 
 def test_what_went_before_a_whole_reading_is_not_passed_over():
@@ -178,7 +178,7 @@
     old, new = TableReplica("t", lambda _: None), TableReplica("t", lambda _: None)
     old.apply(TableDelta("t", 1, True, (TableRow("b", 1, b"x"),)), at=1.0)
     new.apply(TableDelta("t", 2, True, ()), at=2.0)
-    assert old.apply(new.since(1), at=2.0)
+    assert old.apply(new.delta_since(1), at=2.0)
     assert old.rows == []
 
 
@@ -230,7 +230,7 @@
     table = TableReplica("t", lambda _: None)
     table.apply(TableDelta("t", 5, True, (TableRow("a", 3, b"a"),), era=2), at=1.0)
     table.apply(TableDelta("t", 6, False, (TableRow("b", 6, b"b"),), era=2), at=1.0)
-    assert not table.since(5, era=2).whole
-    told = table.since(40, era=1)
+    assert not table.delta_since(5, era=2).whole
+    told = table.delta_since(40, era=1)
     assert told.whole
     assert (told.era, len(told.rows)) == (2, 2)
