--- a/dunlinnotch/coordination/settings/beliefs.py
+++ b/dunlinnotch/coordination/settings/beliefs.py
@@ -75,7 +75,7 @@
         if self.table is None:
             return delta
         rows = {row.key: row for row in delta.rows}
-        if self._key in rows or delta.whole:
+        if self._key in rows or delta.is_snapshot:
             version = rows[self._key].version if self._key in rows else delta.version
             rows[self._key] = TableRow(self._key, version, self._document)
         return replace(delta, rows=tuple(rows.values()))
--- a/dunlinnotch/state/table_replica.py
+++ b/dunlinnotch/state/table_replica.py
@@ -36,7 +36,7 @@
     table : str
     version : int
         The table is known completely up to here.
-    whole : bool
+    is_snapshot : bool
         Whether ``rows`` are all rows that there are.
     rows : tuple of TableRow
     changed : int, default 0
@@ -50,7 +50,7 @@
 
     table: str
     version: int
-    whole: bool
+    is_snapshot: bool
     rows: tuple[TableRow, ...]
     changed: int = 0
     era: int | None = None
@@ -143,13 +143,13 @@
         """
         era = self.era if delta.era is None else delta.era
         later_era = self.known and era > self.era
-        if era < self.era or (later_era and not delta.whole):
+        if era < self.era or (later_era and not delta.is_snapshot):
             return False
         if not later_era and self.known and delta.version <= self.version:
             if delta.version == self.version:
                 self.verify(at)
             return False
-        if delta.whole:
+        if delta.is_snapshot:
             changed = self._replace(delta, lost=later_era)
         else:
             changed = [row for row in delta.rows if self._take_row(row)]
@@ -179,7 +179,7 @@
     def _move_on(self, delta: TableDelta, era: int) -> None:
         """Note up to where the table is known, and since when it stands still."""
         before = self.changed if era == self.era else 0
-        if delta.whole and not delta.changed:
+        if delta.is_snapshot and not delta.changed:
             # Rows may have gone unseen at any version up to this one.
             self.changed = delta.version
         else:
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -280,7 +280,7 @@
             standin.put("t", f"k{number}", {"n": number})
         whole = await store.read_table("t")
         assert [row.key for row in whole.rows] == [f"k{n}" for n in range(5)]
-        assert whole.whole
+        assert whole.is_snapshot
         feed = asyncio.create_task(store.changes("t", 5, 5.0))
         standin.put("other", "x", 1)
         standin.remove("t", "k1")
--- a/tests/test_table_replica.py
+++ b/tests/test_table_replica.py
@@ -99,7 +99,7 @@
     @rule(box=st.integers(0, 2), data=st.data())
     def late_answer(self, box, data):
         """An answer that was long on its way: only a whole one fits a box that moved on."""
-        whole = [delta for delta in self.late if delta.whole]
+        whole = [delta for delta in self.late if delta.is_snapshot]
         if whole:
             self.boxes[box].apply(data.draw(st.sampled_from(whole)), at=0.0)
 
@@ -163,9 +163,9 @@
     table.apply(TableDelta("t", 5, True, rows), at=1.0)
     gone = tuple(TableRow(f"k{n}", n + 5, None) for n in range(1, 5))
     table.apply(TableDelta("t", 9, False, gone), at=2.0)
-    assert not table.delta_since(8).whole
+    assert not table.delta_since(8).is_snapshot
     assert [row.key for row in table.delta_since(8).rows] == ["k4"]
-    assert table.delta_since(5).whole
+    assert table.delta_since(5).is_snapshot
     assert [row.key for row in table.delta_since(5).rows] == ["k5"]
 
 
@@ -230,7 +230,7 @@
     table = TableReplica("t", lambda _: None)
     table.apply(TableDelta("t", 5, True, (TableRow("a", 3, b"a"),), era=2), at=1.0)
     table.apply(TableDelta("t", 6, False, (TableRow("b", 6, b"b"),), era=2), at=1.0)
-    assert not table.delta_since(5, era=2).whole
+    assert not table.delta_since(5, era=2).is_snapshot
     told = table.delta_since(40, era=1)
-    assert told.whole
+    assert told.is_snapshot
     assert (told.era, len(told.rows)) == (2, 2)
