--- a/dunlinnotch/coordination/membership/mesh.py
+++ b/dunlinnotch/coordination/membership/mesh.py
@@ -102,7 +102,7 @@
                 table.version,
                 table.changed,
                 -1 if table.verified_at is None else int((now - table.verified_at) * 1000),
-                table.era,
+                table.epoch,
             )
             for name, table in self._tables.items()
         }
@@ -197,7 +197,7 @@
             if table is None or not table.known or state.age_ms < 0:
                 continue
             at = now - state.age_ms / 1000
-            table.confirm(state.changed, state.version, at=at, era=state.era)
+            table.confirm(state.changed, state.version, at=at, epoch=state.era)
 
     def newer(self, word: BoxWord) -> list[str]:
         """Return the tables that the sender of a word knows further than this box."""
@@ -206,7 +206,7 @@
             table = self._tables.get(name)
             if table is None or state.age_ms < 0:
                 continue
-            if (state.era, state.changed) > (table.era, table.version) or not table.known:
+            if (state.era, state.changed) > (table.epoch, table.version) or not table.known:
                 found.append(name)
         return found
 
--- a/dunlinnotch/coordination/settings/following.py
+++ b/dunlinnotch/coordination/settings/following.py
@@ -107,12 +107,12 @@
             self._loop.call_later(_BEHIND_S, self._break_off, self._call)
 
     def _break_off(self, call: asyncio.Task[bool]) -> None:
-        known = (self._table.era, self._table.changed)
+        known = (self._table.epoch, self._table.changed)
         if self._call is call and not call.done() and self._asked_after < known:
             call.cancel()
 
     async def _turn(self) -> bool:
-        self._asked_after = (self._table.era, self._table.version)
+        self._asked_after = (self._table.epoch, self._table.version)
         self._call = self._loop.create_task(self._read())
         try:
             return await self._call
@@ -129,7 +129,7 @@
     async def _read(self) -> bool:
         """Make one call; return whether a usable answer came."""
         table = self._table
-        known = (table.era, table.version)
+        known = (table.epoch, table.version)
         sent = self._loop.time()
         try:
             # A store that was away may have come back from a copy, which only a whole
@@ -143,11 +143,11 @@
             self._was_away = True
             return False
         self._was_away = False
-        if delta.era is None and delta.version < known[1]:
+        if delta.epoch is None and delta.version < known[1]:
             self._note_older(delta)
             # Versions rise within an era, so this is a new one, told or not.
-            delta = replace(delta, era=known[0] + 1)
-        elif delta.era is not None and (delta.era, delta.version) < known:
+            delta = replace(delta, epoch=known[0] + 1)
+        elif delta.epoch is not None and (delta.epoch, delta.version) < known:
             # Asked again at once, it would tell the same: a storm of readings.
             self._note_older(delta)
             return False
@@ -158,30 +158,30 @@
     async def _changes(self) -> TableDelta | None:
         """Return what changed since the last answer; None if the table must be read whole."""
         table = self._table
-        era, after = table.era, table.version
+        era, after = table.epoch, table.version
         wait = WAIT_LEAD_S if self._mesh.is_lead() else WAIT_S
         async with asyncio.timeout(wait + _SLACK_S):
             changes = await self._source.changes(table.name, after, wait)
         if isinstance(changes, HistoryGone):
             event(_log, "history-gone", table=table.name, era=era, after=after)
             return None
-        if changes.era not in (None, era):
+        if changes.epoch not in (None, era):
             # Versions up to ``after`` have been given out again, and were not told.
-            event(_log, "store-back", table=table.name, era=changes.era, before=era, after=after)
+            event(_log, "store-back", table=table.name, era=changes.epoch, before=era, after=after)
             return None
         return changes
 
     def _note_older(self, delta: TableDelta) -> None:
         """Log that the store holds less than this box knew when it asked."""
         table = self._table
-        self._detail = f"the store tells version {delta.version} of era {delta.era}"
+        self._detail = f"the store tells version {delta.version} of era {delta.epoch}"
         event(
             _log,
             "store-behind",
             level=logging.WARNING,
             table=delta.table,
-            told=[delta.era, delta.version],
-            known=[table.era, table.version],
+            told=[delta.epoch, delta.version],
+            known=[table.epoch, table.version],
         )
 
     def _well(self) -> None:
--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -187,7 +187,7 @@
             adapter.rows,
             send=self.gossip.send_crashes,
             on_known=self.gossip.tell_state,
-            era=lambda: max(table.era for table in self.tables.values()),
+            era=lambda: max(table.epoch for table in self.tables.values()),
             rng=rng,
         )
         self.gossip.join(self.crash_news, self.followers)
@@ -309,7 +309,7 @@
                 self.gossip.ask_few()
             if self.mesh.state not in (RUNNING, DRAINING) and self._can_serve():
                 self.mesh.state = RUNNING
-                era = self._settings_rows.era
+                era = self._settings_rows.epoch
                 event(_log, "serving", box=self.mesh.name, version=self._version(), era=era)
                 self.gossip.tell_state()
             self._listed.expire()
--- a/dunlinnotch/daemon/gossip.py
+++ b/dunlinnotch/daemon/gossip.py
@@ -206,7 +206,7 @@
         sent = self._loop.time()
         try:
             delta, age_ms = await fetch_table(
-                peer, table, version, era=followed.era, timeout=_FETCH_S
+                peer, table, version, era=followed.epoch, timeout=_FETCH_S
             )
         except (ProtocolError, OSError, TimeoutError) as error:
             event(_log, "fetch-failed", table=table, peer=peer, detail=repr(error))
--- a/dunlinnotch/platform/store.py
+++ b/dunlinnotch/platform/store.py
@@ -58,7 +58,7 @@
         comes again by the changes after it.
         """
         rows, first, era = await self._read_pages(table)
-        return TableDelta(table, _whole(first, "ver"), True, rows, era=era)
+        return TableDelta(table, _whole(first, "ver"), True, rows, epoch=era)
 
     async def read_rows(self, table: str) -> RowsRead:
         """Return all rows of a table, and the store's own time of the first page."""
@@ -122,7 +122,7 @@
             return HistoryGone()
         plain = _read(answer, "/api/rows-feed")
         rows = tuple(_read_row(row) for row in plain.get("rows", ()))
-        return TableDelta(table, _whole(plain, "ver"), False, rows, era=era)
+        return TableDelta(table, _whole(plain, "ver"), False, rows, epoch=era)
 
     async def _get(self, path: str, query: dict[str, str], timeout: float) -> dict[str, Any]:
         answer = await self._fetch(path, query, timeout)
--- a/dunlinnotch/protocol/mesh.py
+++ b/dunlinnotch/protocol/mesh.py
@@ -199,7 +199,7 @@
     """Return a table's changes as plain data."""
     rows = [[row.key, row.version, row.value] for row in delta.rows]
     plain = {"t": delta.table, "v": delta.version, "w": delta.is_snapshot, "r": rows, "a": age_ms}
-    return {**plain, "c": delta.changed, "e": delta.era}
+    return {**plain, "c": delta.changed, "e": delta.epoch}
 
 
 def unpack_delta(plain: Any) -> tuple[TableDelta, int]:  # noqa: ANN401 - checked here
--- a/dunlinnotch/state/table_replica.py
+++ b/dunlinnotch/state/table_replica.py
@@ -42,8 +42,8 @@
     changed : int, default 0
         No row changed between here and ``version``, as far as a peer told; 0 if
         a store told.
-    era : int, optional
-        Rises each time the store comes back from a copy; versions of different eras
+    epoch : int, optional
+        Rises each time the store comes back from a copy; versions of different epochs
         can't be compared, since those after the copy are given out again.  ``None``
         where a store does not tell it.
     """
@@ -53,11 +53,11 @@
     is_snapshot: bool
     rows: tuple[TableRow, ...]
     changed: int = 0
-    era: int | None = None
+    epoch: int | None = None
 
 
 class TableReplica:
-    """Rows of one table, which only ever move to a higher version or a later era.
+    """Rows of one table, which only ever move to a higher version or a later epoch.
 
     Parameters
     ----------
@@ -67,8 +67,8 @@
 
     Attributes
     ----------
-    era : int
-        The era of the store to which the versions belong.
+    epoch : int
+        The epoch of the store to which the versions belong.
     version : int
         The table is known completely up to here; 0 before anything is known.
     changed : int
@@ -80,7 +80,7 @@
 
     def __init__(self, name: str, on_change: Callable[[list[TableRow]], None]) -> None:
         self.name = name
-        self.era = 0
+        self.epoch = 0
         self.version = 0
         self.changed = 0
         self.verified_at: Seconds | None = None
@@ -103,12 +103,12 @@
         """Note that the store held no more than this at ``at``."""
         self.verified_at = at if self.verified_at is None else max(self.verified_at, at)
 
-    def confirm(self, changed: int, version: int, *, at: Seconds, era: int = 0) -> bool:
+    def confirm(self, changed: int, version: int, *, at: Seconds, epoch: int = 0) -> bool:
         """Take over how far a peer knows the table, if it holds the same rows.
 
         Parameters
         ----------
-        changed, version, era : int
+        changed, version, epoch : int
             The peer's.
         at : float
             Monotonic seconds at which the store held no more than the peer knew.
@@ -123,9 +123,9 @@
         Both tables stood still from ``changed`` to ``version``; where these spans
         meet, they held the same rows.
         """
-        if not self.known or (era, changed) > (self.era, self.version):
+        if not self.known or (epoch, changed) > (self.epoch, self.version):
             return False
-        if era == self.era and self.changed <= version:
+        if epoch == self.epoch and self.changed <= version:
             self.changed = max(self.changed, changed)
             self.version = max(self.version, version)
             self.verify(at)
@@ -138,28 +138,28 @@
         -------
         bool
             Whether anything changed.  A delta that is older than what is
-            known changes nothing, nor do changes alone from a later era: they leave out
+            known changes nothing, nor do changes alone from a later epoch: they leave out
             what was written anew below their version.
         """
-        era = self.era if delta.era is None else delta.era
-        later_era = self.known and era > self.era
-        if era < self.era or (later_era and not delta.is_snapshot):
+        epoch = self.epoch if delta.epoch is None else delta.epoch
+        later_epoch = self.known and epoch > self.epoch
+        if epoch < self.epoch or (later_epoch and not delta.is_snapshot):
             return False
-        if not later_era and self.known and delta.version <= self.version:
+        if not later_epoch and self.known and delta.version <= self.version:
             if delta.version == self.version:
                 self.verify(at)
             return False
         if delta.is_snapshot:
-            changed = self._replace(delta, lost=later_era)
+            changed = self._replace(delta, lost=later_epoch)
         else:
             changed = [row for row in delta.rows if self._take_row(row)]
-        self._move_on(delta, era)
-        if later_era:
+        self._move_on(delta, epoch)
+        if later_epoch:
             self.verified_at = at
         self.verify(at)
         if changed:
             self._on_change(changed)
-        return later_era or bool(changed)
+        return later_epoch or bool(changed)
 
     def _replace(self, delta: TableDelta, *, lost: bool) -> list[TableRow]:
         """Take over all rows that there are; return what differs from before."""
@@ -176,25 +176,25 @@
         self._gone_floor = delta.version if lost else max(self._gone_floor, delta.version)
         return changed + [row for key, row in present.items() if before.get(key) != row]
 
-    def _move_on(self, delta: TableDelta, era: int) -> None:
+    def _move_on(self, delta: TableDelta, epoch: int) -> None:
         """Note up to where the table is known, and since when it stands still."""
-        before = self.changed if era == self.era else 0
+        before = self.changed if epoch == self.epoch else 0
         if delta.is_snapshot and not delta.changed:
             # Rows may have gone unseen at any version up to this one.
             self.changed = delta.version
         else:
             self.changed = max(before, delta.changed, *(row.version for row in delta.rows), 0)
-        self.era, self.version = era, delta.version
+        self.epoch, self.version = epoch, delta.version
 
-    def delta_since(self, version: int, era: int = 0) -> TableDelta:
+    def delta_since(self, version: int, epoch: int = 0) -> TableDelta:
         """Return what changed after a version; everything if that is not known."""
-        if era != self.era or version < self._gone_floor or version <= 0:
+        if epoch != self.epoch or version < self._gone_floor or version <= 0:
             rows = list(self._rows.values())
-            return TableDelta(self.name, self.version, True, tuple(rows), self.changed, self.era)
+            return TableDelta(self.name, self.version, True, tuple(rows), self.changed, self.epoch)
         rows = [row for row in self._rows.values() if row.version > version]
         rows += [row for row in self._gone.values() if row.version > version]
         rows.sort(key=_by_version)
-        return TableDelta(self.name, self.version, False, tuple(rows), self.changed, self.era)
+        return TableDelta(self.name, self.version, False, tuple(rows), self.changed, self.epoch)
 
     def _take_row(self, row: TableRow) -> bool:
         known = self._rows.get(row.key) or self._gone.get(row.key)
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -184,16 +184,16 @@
     return False
 
 
-def _since_without_floor(self, version, era=0):
+def _since_without_floor(self, version, epoch=0):
     self._gone_floor = 0
-    return _since(self, version, era)
+    return _since(self, version, epoch)
 
 
 _since = TableReplica.delta_since
 
 
-def _any_era(self, delta, *, at):
-    return _take_delta(self, replace(delta, era=self.era), at=at)
+def _any_epoch(self, delta, *, at):
+    return _take_delta(self, replace(delta, epoch=self.epoch), at=at)
 
 
 _take_delta = TableReplica.apply
@@ -406,7 +406,7 @@
         "read on through a store that went back",
         TableReplica,
         "apply",
-        _any_era,
+        _any_epoch,
         "tests/test_table_replica.py",
     ),
     Mutant(
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -136,8 +136,8 @@
     """It can't be followed, but it must not be read without end either."""
 
     async def test(source, table, follower, news):
-        table.apply(replace(source.whole(), version=9, era=3), at=0.0)
-        source.whole = lambda: TableDelta("t", 20, True, (TableRow("k", 20, b"w"),), era=1)
+        table.apply(replace(source.whole(), version=9, epoch=3), at=0.0)
+        source.whole = lambda: TableDelta("t", 20, True, (TableRow("k", 20, b"w"),), epoch=1)
 
         async def gone(table, after, wait):
             return HistoryGone()
@@ -146,7 +146,7 @@
         await until(lambda: source.reads >= 5)
         assert follower.failing
         assert follower._failures >= 3
-        assert (table.era, table.version) == (3, 9)
+        assert (table.epoch, table.version) == (3, 9)
 
     follow(test)
 
--- a/tests/test_store_back.py
+++ b/tests/test_store_back.py
@@ -80,7 +80,7 @@
             await until(lambda: all_have(world, 24))
             world.store.come_back_from_copy(copied)
             box = world.boxes[0]
-            await until(lambda: box.tables["op"].era == world.store.era)
+            await until(lambda: box.tables["op"].epoch == world.store.era)
             later = await world.add_box(seeds=(box.mesh.peer,))
             assert later.routes.table.version == 24
 
@@ -112,7 +112,7 @@
             await until(lambda: not any(i.find(left.instance) for i in known))
             world.store.come_back_from_copy(copied)
             await until(
-                lambda: all(b.tables["servers"].era == world.store.era for b in world.boxes)
+                lambda: all(b.tables["servers"].epoch == world.store.era for b in world.boxes)
             )
             assert not any(i.find(left.instance) for i in known)
             assert all(i.find(stays.instance).lapsed_at is None for i in known)
--- a/tests/test_table_replica.py
+++ b/tests/test_table_replica.py
@@ -1,6 +1,6 @@
 """Tables followed through stores and peers only move forward and lose nothing.
 
-Versions are those of an era: a store that comes back from a copy gives them out again.
+Versions are those of an epoch: a store that comes back from a copy gives them out again.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
     def __init__(self):
         super().__init__()
-        self.era = 1
+        self.epoch = 1
         self.version = 0
         self.moment = 0
         self.store: dict[str, TableRow] = {}
@@ -61,7 +61,7 @@
 
     def _moved_on(self):
         self.moment += 1
-        self.at[self.moment] = (self.era, self.version)
+        self.at[self.moment] = (self.epoch, self.version)
         self.states[self.at[self.moment]] = {k: r.value for k, r in self.store.items()}
 
     @rule()
@@ -73,17 +73,19 @@
         version, store, history = data.draw(st.sampled_from(self.copies))
         self.copies = [copy for copy in self.copies if copy[0] <= version]
         self.version, self.store, self.history = version, dict(store), list(history)
-        self.era += 1
+        self.epoch += 1
         for earlier in range(version):
-            self.states.setdefault((self.era, earlier), self.states.get((self.era - 1, earlier)))
+            self.states.setdefault(
+                (self.epoch, earlier), self.states.get((self.epoch - 1, earlier))
+            )
         self._moved_on()
 
     def _feed(self, after):
         rows = tuple(row for row in self.history if row.version > after)
-        return TableDelta("t", self.version, False, rows, era=self.era)
+        return TableDelta("t", self.version, False, rows, epoch=self.epoch)
 
     def _whole(self):
-        return TableDelta("t", self.version, True, tuple(self.store.values()), era=self.era)
+        return TableDelta("t", self.version, True, tuple(self.store.values()), epoch=self.epoch)
 
     @rule(box=st.integers(0, 2), whole=st.booleans(), keep=st.booleans())
     def read(self, box, whole, keep):
@@ -108,23 +110,23 @@
         if self.boxes[teller].known and asker != teller:
             version = self.boxes[asker].version if self.boxes[asker].known else 0
             known = self.boxes[teller]
-            delta = known.delta_since(version, self.boxes[asker].era)
+            delta = known.delta_since(version, self.boxes[asker].epoch)
             self.boxes[asker].apply(delta, at=known.verified_at)
 
     @rule(teller=st.integers(0, 2))
     def speak(self, teller):
         table = self.boxes[teller]
         if table.known:
-            self.words.append((table.changed, table.version, table.era, table.verified_at))
+            self.words.append((table.changed, table.version, table.epoch, table.verified_at))
 
     @rule(box=st.integers(0, 2), data=st.data())
     def hear(self, box, data):
         """A word that may have been long on its way."""
         if self.words:
-            changed, version, era, at = data.draw(st.sampled_from(self.words))
+            changed, version, epoch, at = data.draw(st.sampled_from(self.words))
             table = self.boxes[box]
-            same = table.confirm(changed, version, at=at, era=era)
-            assert same or not table.known or (table.era, table.version) < (era, changed)
+            same = table.confirm(changed, version, at=at, epoch=epoch)
+            assert same or not table.known or (table.epoch, table.version) < (epoch, changed)
 
     @invariant()
     def no_row_changed_between_changed_and_version(self):
@@ -132,23 +134,23 @@
             if table.known:
                 assert table.changed <= table.version
                 spans = range(table.changed, table.version + 1)
-                now = self.states[table.era, table.version]
-                assert all(self.states[table.era, v] == now for v in spans)
+                now = self.states[table.epoch, table.version]
+                assert all(self.states[table.epoch, v] == now for v in spans)
 
     @invariant()
     def what_is_known_is_what_the_store_held_when_it_was_verified(self):
         for table in self.boxes:
             if table.known:
                 then = self.at[int(table.verified_at)]
-                if then >= (table.era, table.version):
-                    assert self.states[table.era, table.version] == self.states[then]
+                if then >= (table.epoch, table.version):
+                    assert self.states[table.epoch, table.version] == self.states[then]
 
     @invariant()
     def each_box_knows_exactly_what_stood_at_its_version(self):
         for number, table in enumerate(self.boxes):
             if table.known:
                 rows = {row.key: row.value for row in table.rows}
-                assert rows == self.states[table.era, table.version]
+                assert rows == self.states[table.epoch, table.version]
                 assert self.seen[number] == rows
 
 
@@ -214,23 +216,23 @@
     told = []
     table = TableReplica("t", told.extend)
     rows = (TableRow("a", 3, b"a"), TableRow("b", 9, b"b"))
-    table.apply(TableDelta("t", 9, True, rows, era=1), at=1.0)
+    table.apply(TableDelta("t", 9, True, rows, epoch=1), at=1.0)
     told.clear()
-    change = TableDelta("t", 12, False, (TableRow("c", 12, b"c"),), era=2)
+    change = TableDelta("t", 12, False, (TableRow("c", 12, b"c"),), epoch=2)
     assert not table.apply(change, at=2.0)
-    assert (table.era, table.version, table.verified_at) == (1, 9, 1.0)
-    assert table.apply(TableDelta("t", 5, True, (TableRow("a", 3, b"a"),), era=2), at=3.0)
-    assert (table.era, table.version, table.verified_at) == (2, 5, 3.0)
+    assert (table.epoch, table.version, table.verified_at) == (1, 9, 1.0)
+    assert table.apply(TableDelta("t", 5, True, (TableRow("a", 3, b"a"),), epoch=2), at=3.0)
+    assert (table.epoch, table.version, table.verified_at) == (2, 5, 3.0)
     assert told == [TableRow("b", 5, None, lost=True)]
-    assert not table.apply(TableDelta("t", 20, True, rows, era=1), at=4.0)
+    assert not table.apply(TableDelta("t", 20, True, rows, epoch=1), at=4.0)
     assert table.rows == [TableRow("a", 3, b"a")]
 
 
 def test_a_peer_of_an_earlier_era_is_told_all():
     table = TableReplica("t", lambda _: None)
-    table.apply(TableDelta("t", 5, True, (TableRow("a", 3, b"a"),), era=2), at=1.0)
-    table.apply(TableDelta("t", 6, False, (TableRow("b", 6, b"b"),), era=2), at=1.0)
-    assert not table.delta_since(5, era=2).is_snapshot
-    told = table.delta_since(40, era=1)
+    table.apply(TableDelta("t", 5, True, (TableRow("a", 3, b"a"),), epoch=2), at=1.0)
+    table.apply(TableDelta("t", 6, False, (TableRow("b", 6, b"b"),), epoch=2), at=1.0)
+    assert not table.delta_since(5, epoch=2).is_snapshot
+    told = table.delta_since(40, epoch=1)
     assert told.is_snapshot
-    assert (told.era, len(told.rows)) == (2, 2)
+    assert (told.epoch, len(told.rows)) == (2, 2)
