--- a/benchmarks/_boxes.py
+++ b/benchmarks/_boxes.py
@@ -7,7 +7,7 @@
 
 from dunlinnotch.coordination.membership.mesh import RUNNING, Mesh
 from dunlinnotch.protocol.mesh import pack_messages
-from dunlinnotch.state.followed import FollowedTable, TableDelta, TableRow
+from dunlinnotch.state.table_replica import TableDelta, TableReplica, TableRow
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -51,7 +51,7 @@
         self.clock = Clock()
         self.rng = random.Random(seed)
         self.lost = lost
-        self.tables: dict[str, FollowedTable] = {}
+        self.tables: dict[str, TableReplica] = {}
         self.meshes: dict[str, Mesh] = {}
         self.sent = 0
         self.sent_bytes = 0
@@ -59,7 +59,7 @@
             self._add(f"box-{number}", PLACES[number % len(PLACES)])
 
     def _add(self, name: str, place: str) -> None:
-        table = FollowedTable("t", lambda _: None)
+        table = TableReplica("t", lambda _: None)
         mesh = Mesh(
             name=name,
             place=place,
@@ -104,7 +104,7 @@
     def _fetch(self, name: str, teller: str) -> None:
         mine, theirs = self.tables[name], self.tables[teller]
         assert theirs.verified_at is not None
-        mine.take(theirs.since(mine.version), at=theirs.verified_at)
+        mine.apply(theirs.delta_since(mine.version), at=theirs.verified_at)
 
     def hello(self) -> None:
         """Have each box ask the seeds whom to know."""
@@ -128,7 +128,7 @@
         """Have the lead read a new version and tell it, as a reader does."""
         lead = next(m for m in self.meshes.values() if m.is_lead())
         row = TableRow("k", version, b"v")
-        self.tables[lead.name].take(TableDelta("t", version, True, (row,)), at=self.clock.now)
+        self.tables[lead.name].apply(TableDelta("t", version, True, (row,)), at=self.clock.now)
         self.tell(lead, lead.to_tell_news())
 
     def settled(self) -> Boxes:
--- a/dunlinnotch/coordination/membership/mesh.py
+++ b/dunlinnotch/coordination/membership/mesh.py
@@ -22,7 +22,7 @@
     import random
     from collections.abc import Iterable
 
-    from dunlinnotch.state.followed import FollowedTable
+    from dunlinnotch.state.table_replica import TableReplica
     from dunlinnotch.types import Address, Clock, Seconds
 
 STARTING, RUNNING, DRAINING = "starting", "running", "draining"
@@ -57,7 +57,7 @@
     incarnation : int
     caller, peer : str
         This box's own addresses.
-    tables : iterable of FollowedTable
+    tables : iterable of TableReplica
     clock : callable
     rng : random.Random
         Draws whom to tell.
@@ -71,7 +71,7 @@
         incarnation: int,
         caller: Address,
         peer: Address,
-        tables: Iterable[FollowedTable],
+        tables: Iterable[TableReplica],
         clock: Clock,
         rng: random.Random,
     ) -> None:
@@ -102,7 +102,7 @@
                 table.version,
                 table.changed,
                 -1 if table.verified_at is None else int((now - table.verified_at) * 1000),
-                table.era,
+                table.epoch,
             )
             for name, table in self._tables.items()
         }
@@ -197,7 +197,7 @@
             if table is None or not table.known or state.age_ms < 0:
                 continue
             at = now - state.age_ms / 1000
-            table.take_same(state.changed, state.version, at=at, era=state.era)
+            table.confirm(state.changed, state.version, at=at, epoch=state.era)
 
     def newer(self, word: BoxWord) -> list[str]:
         """Return the tables that the sender of a word knows further than this box."""
@@ -206,7 +206,7 @@
             table = self._tables.get(name)
             if table is None or state.age_ms < 0:
                 continue
-            if (state.era, state.changed) > (table.era, table.version) or not table.known:
+            if (state.era, state.changed) > (table.epoch, table.version) or not table.known:
                 found.append(name)
         return found
 
@@ -306,7 +306,7 @@
             if table.known or not patient
         )
 
-    def age(self, table: FollowedTable) -> Seconds:
+    def age(self, table: TableReplica) -> Seconds:
         """Return the seconds since a table was known to be all that there is."""
         if table.verified_at is None:
             return float("inf")
--- a/dunlinnotch/coordination/requests/crash_guard.py
+++ b/dunlinnotch/coordination/requests/crash_guard.py
@@ -6,14 +6,14 @@
 from typing import TYPE_CHECKING
 
 from dunlinnotch._logs import event
-from dunlinnotch.state.crashes import Span
+from dunlinnotch.state.crashes import ServingSpan
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Mapping, Sequence
 
     from dunlinnotch.coordination.requests.fingerprint import Fingerprint
     from dunlinnotch.protocol.relay import CallerRequest, TargetPort
-    from dunlinnotch.state.crashes import CrashLog, Evidence
+    from dunlinnotch.state.crashes import CrashLog, CrashRecord
     from dunlinnotch.state.instances import Instance
     from dunlinnotch.types import Seconds
 
@@ -32,7 +32,7 @@
 
     def __init__(self, fingerprint: Fingerprint) -> None:
         self.fingerprint = fingerprint
-        self.crashed: dict[str, Span] = {}
+        self.crashed: dict[str, ServingSpan] = {}
 
 
 class CrashGuard:
@@ -52,7 +52,11 @@
     """
 
     def __init__(
-        self, log: CrashLog, targets: TargetPort, *, publish: Callable[[Sequence[Evidence]], None]
+        self,
+        log: CrashLog,
+        targets: TargetPort,
+        *,
+        publish: Callable[[Sequence[CrashRecord]], None],
     ) -> None:
         self._crash_log = log
         self._targets = targets
@@ -62,10 +66,10 @@
     def quarantine_left(self, tracked: TrackedRequest) -> Seconds:
         """Return how long a request is to be sent to no target; 0 if it may be sent."""
         if not tracked.crashed:
-            return max(self._crash_log.barred_for(key) for key in tracked.fingerprint)
+            return max(self._crash_log.quarantine_left(key) for key in tracked.fingerprint)
         now = self._crash_log.now
         known = [self._crash_log.with_ended(key, tracked.crashed) for key in tracked.fingerprint]
-        return max(evidence.barred_for(now) for evidence in known)
+        return max(evidence.quarantine_left(now) for evidence in known)
 
     async def check_target(
         self, tracked: TrackedRequest, request: CallerRequest, instance: Instance, *, took: Seconds
@@ -83,7 +87,7 @@
         ended = self._crash_log.now
         if not await self._targets.has_ended(instance.address):
             return
-        tracked.crashed[instance.start] = Span(ended - took, ended)
+        tracked.crashed[instance.start] = ServingSpan(ended - took, ended)
         self.targets_crashed += 1
         event(
             _log,
@@ -113,7 +117,9 @@
         if new:
             self._publish(new)
 
-    def _note_end(self, key: str, ended: Mapping[str, Span], *, answered: bool) -> Evidence | None:
+    def _note_end(
+        self, key: str, ended: Mapping[str, ServingSpan], *, answered: bool
+    ) -> CrashRecord | None:
         if answered:
             return self._crash_log.note_answered(key)
         return self._crash_log.note_ended(key, ended) if ended else None
--- a/dunlinnotch/coordination/settings/following.py
+++ b/dunlinnotch/coordination/settings/following.py
@@ -17,7 +17,7 @@
 
     from dunlinnotch.coordination.membership.mesh import Mesh
     from dunlinnotch.protocol.store import TableSource
-    from dunlinnotch.state.followed import FollowedTable, TableDelta
+    from dunlinnotch.state.table_replica import TableDelta, TableReplica
     from dunlinnotch.types import Seconds
 
 #: How long a follow-up call waits for a change, by the lead reader and by others, in
@@ -48,7 +48,7 @@
 
     Parameters
     ----------
-    table : FollowedTable
+    table : TableReplica
     source : TableSource
     mesh : Mesh
     on_answer : callable
@@ -58,7 +58,7 @@
 
     def __init__(
         self,
-        table: FollowedTable,
+        table: TableReplica,
         source: TableSource,
         mesh: Mesh,
         *,
@@ -107,12 +107,12 @@
             self._loop.call_later(_BEHIND_GRACE_S, self._cancel_if_behind, self._call)
 
     def _cancel_if_behind(self, call: asyncio.Task[bool]) -> None:
-        known = (self._table.era, self._table.changed)
+        known = (self._table.epoch, self._table.changed)
         if self._call is call and not call.done() and self._requested_from < known:
             call.cancel()
 
     async def _poll_once(self) -> bool:
-        self._requested_from = (self._table.era, self._table.version)
+        self._requested_from = (self._table.epoch, self._table.version)
         self._call = self._loop.create_task(self._read())
         try:
             return await self._call
@@ -131,7 +131,7 @@
     async def _read(self) -> bool:
         """Make one call; return whether a usable answer came."""
         table = self._table
-        known = (table.era, table.version)
+        known = (table.epoch, table.version)
         sent = self._loop.time()
         try:
             # A store that was away may have come back from a copy, which only a whole
@@ -145,45 +145,45 @@
             self._was_unavailable = True
             return False
         self._was_unavailable = False
-        if delta.era is None and delta.version < known[1]:
+        if delta.epoch is None and delta.version < known[1]:
             self._note_older(delta)
             # Versions rise within an era, so this is a new one, told or not.
-            delta = replace(delta, era=known[0] + 1)
-        elif delta.era is not None and (delta.era, delta.version) < known:
+            delta = replace(delta, epoch=known[0] + 1)
+        elif delta.epoch is not None and (delta.epoch, delta.version) < known:
             # Asked again at once, it would tell the same: a storm of readings.
             self._note_older(delta)
             return False
         at = max(sent, self._loop.time() - _MAX_ANSWER_AGE_S)
-        self._on_answer(table.take(delta, at=at))
+        self._on_answer(table.apply(delta, at=at))
         return True
 
     async def _changes(self) -> TableDelta | None:
         """Return what changed since the last answer; None if the table must be read whole."""
         table = self._table
-        era, after = table.era, table.version
+        era, after = table.epoch, table.version
         wait = PRIMARY_POLL_TIMEOUT_S if self._mesh.is_lead() else POLL_TIMEOUT_S
         async with asyncio.timeout(wait + _HUNG_MARGIN_S):
             changes = await self._source.changes(table.name, after, wait)
         if isinstance(changes, HistoryGone):
             event(_log, "history-gone", table=table.name, era=era, after=after)
             return None
-        if changes.era not in (None, era):
+        if changes.epoch not in (None, era):
             # Versions up to ``after`` have been given out again, and were not told.
-            event(_log, "store-back", table=table.name, era=changes.era, before=era, after=after)
+            event(_log, "store-back", table=table.name, era=changes.epoch, before=era, after=after)
             return None
         return changes
 
     def _note_older(self, delta: TableDelta) -> None:
         """Log that the store holds less than this box knew when it asked."""
         table = self._table
-        self._detail = f"the store tells version {delta.version} of era {delta.era}"
+        self._detail = f"the store tells version {delta.version} of era {delta.epoch}"
         event(
             _log,
             "store-behind",
             level=logging.WARNING,
             table=delta.table,
-            told=[delta.era, delta.version],
-            known=[table.era, table.version],
+            told=[delta.epoch, delta.version],
+            known=[table.epoch, table.version],
         )
 
     def _record_success(self) -> None:
--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -27,9 +27,9 @@
 from dunlinnotch.daemon.metrics_text import TextMetrics
 from dunlinnotch.daemon.stop import StopPlan
 from dunlinnotch.state.crashes import CrashLog
-from dunlinnotch.state.followed import FollowedTable
 from dunlinnotch.state.heads import Header
 from dunlinnotch.state.instances import InstanceList
+from dunlinnotch.state.table_replica import TableReplica
 from dunlinnotch.transport.stream.client import TargetClient
 from dunlinnotch.transport.stream.server import ServerLimits, StreamServer
 
@@ -39,9 +39,9 @@
 
     from dunlinnotch.protocol.relay import CallerRequest, TargetDialect
     from dunlinnotch.protocol.store import RowStore, TableSource
-    from dunlinnotch.state.followed import TableRow
     from dunlinnotch.state.instances import ListedTarget
     from dunlinnotch.state.routes import RouteTable
+    from dunlinnotch.state.table_replica import TableRow
     from dunlinnotch.transport.stream.server import Exchange
     from dunlinnotch.types import Address, Seconds
 
@@ -149,8 +149,8 @@
             adapter.read_settings, key=adapter.settings_key, on_change=self._on_routes
         )
         self._listed = TargetListing(adapter.read_target, self.instances, clock=clock)
-        self._settings_rows = FollowedTable(adapter.settings_table, self.routes.apply)
-        self._target_rows = FollowedTable(adapter.targets_table, self._take_targets)
+        self._settings_rows = TableReplica(adapter.settings_table, self.routes.apply)
+        self._target_rows = TableReplica(adapter.targets_table, self._take_targets)
         self.tables = {t.name: t for t in (self._settings_rows, self._target_rows)}
         self.mesh = Mesh(
             name=settings.name,
@@ -187,7 +187,7 @@
             adapter.rows,
             send=self.gossip.send_crashes,
             on_known=self.gossip.announce_state,
-            era=lambda: max(table.era for table in self.tables.values()),
+            era=lambda: max(table.epoch for table in self.tables.values()),
             rng=rng,
         )
         self.gossip.join(self.crash_gossip, self.followers)
@@ -309,7 +309,7 @@
                 self.gossip.request_updates()
             if self.mesh.state not in (RUNNING, DRAINING) and self._can_serve():
                 self.mesh.state = RUNNING
-                era = self._settings_rows.era
+                era = self._settings_rows.epoch
                 event(_log, "serving", box=self.mesh.name, version=self._version(), era=era)
                 self.gossip.announce_state()
             self._listed.expire()
@@ -416,7 +416,7 @@
             ),
             "rests_asked_total": float(self.selector.rests_asked),
             "targets_ended_total": float(self._crash_guard.targets_crashed),
-            "requests_barred": float(self.crashes.barred),
+            "requests_barred": float(self.crashes.quarantined),
             "store_calls_total": float(self._adapter.store_calls()),
             "store_failures_total": float(self._adapter.store_failures()),
             "settings_version": float(self._version()),
--- a/dunlinnotch/daemon/gossip.py
+++ b/dunlinnotch/daemon/gossip.py
@@ -20,7 +20,7 @@
     from dunlinnotch.coordination.settings.store_tables import ActiveRoutes
     from dunlinnotch.protocol.crashes import SeenCrashes
     from dunlinnotch.protocol.mesh import BoxWord
-    from dunlinnotch.state.followed import FollowedTable, TableDelta
+    from dunlinnotch.state.table_replica import TableDelta, TableReplica
     from dunlinnotch.types import Address, Seconds
 
     Spawn = Callable[[Coroutine[None, None, None]], None]
@@ -48,7 +48,7 @@
     Parameters
     ----------
     mesh : Mesh
-    tables : sequence of FollowedTable
+    tables : sequence of TableReplica
         What a peer may lack, or have further than this box.
     routes : ActiveRoutes
     settings_table : str
@@ -63,7 +63,7 @@
     def __init__(
         self,
         mesh: Mesh,
-        tables: Sequence[FollowedTable],
+        tables: Sequence[TableReplica],
         routes: ActiveRoutes,
         *,
         settings_table: str,
@@ -206,14 +206,14 @@
         sent = self._loop.time()
         try:
             delta, age_ms = await fetch_table(
-                peer, table, version, era=followed.era, timeout=_FETCH_S
+                peer, table, version, era=followed.epoch, timeout=_FETCH_S
             )
         except (ProtocolError, OSError, TimeoutError) as error:
             event(_log, "fetch-failed", table=table, peer=peer, detail=repr(error))
             return
         finally:
             self._fetching.discard(table)
-        if age_ms >= 0 and followed.take(delta, at=sent - age_ms / 1000):
+        if age_ms >= 0 and followed.apply(delta, at=sent - age_ms / 1000):
             event(_log, "table-fetched", table=table, peer=peer, version=delta.version)
             self._words.send([self._mesh.own_word()], self._mesh.to_tell_news())
             for follower in self._followers:
@@ -221,7 +221,7 @@
 
     def _tell_table(self, table: str, version: int, era: int) -> tuple[TableDelta, int]:
         followed = self._tables[table]
-        delta = followed.since(version, era)
+        delta = followed.delta_since(version, era)
         if table == self._settings_table:
             delta = self._routes.with_active_settings(delta)
         age: Seconds = self._mesh.age(followed)
--- a/dunlinnotch/platform/store.py
+++ b/dunlinnotch/platform/store.py
@@ -12,7 +12,7 @@
 from dunlinnotch.errors import PlatformUnavailableError, SettingsError
 from dunlinnotch.platform import units
 from dunlinnotch.protocol.store import HistoryGone, RowsChange, RowsRead
-from dunlinnotch.state.followed import TableDelta, TableRow
+from dunlinnotch.state.table_replica import TableDelta, TableRow
 from dunlinnotch.transport.stream.common import find
 from dunlinnotch.transport.stream.fetch import Fetched, Fetcher
 
@@ -58,7 +58,7 @@
         comes again by the changes after it.
         """
         rows, first, era = await self._read_pages(table)
-        return TableDelta(table, _whole(first, "ver"), True, rows, era=era)
+        return TableDelta(table, _whole(first, "ver"), True, rows, epoch=era)
 
     async def read_rows(self, table: str) -> RowsRead:
         """Return all rows of a table, and the store's own time of the first page."""
@@ -122,7 +122,7 @@
             return HistoryGone()
         plain = _read(answer, "/api/rows-feed")
         rows = tuple(_read_row(row) for row in plain.get("rows", ()))
-        return TableDelta(table, _whole(plain, "ver"), False, rows, era=era)
+        return TableDelta(table, _whole(plain, "ver"), False, rows, epoch=era)
 
     async def _get(self, path: str, query: dict[str, str], timeout: float) -> dict[str, Any]:
         answer = await self._fetch(path, query, timeout)
--- a/dunlinnotch/protocol/mesh.py
+++ b/dunlinnotch/protocol/mesh.py
@@ -14,7 +14,7 @@
 
 from dunlinnotch.errors import ProtocolError
 from dunlinnotch.protocol.crashes import CRASHES_FORMAT, SeenCrashes, pack_crashes, read_crashes
-from dunlinnotch.state.followed import TableDelta, TableRow
+from dunlinnotch.state.table_replica import TableDelta, TableRow
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator
@@ -198,8 +198,8 @@
 def pack_delta(delta: TableDelta, *, age_ms: int) -> dict[str, Any]:
     """Return a table's changes as plain data."""
     rows = [[row.key, row.version, row.value] for row in delta.rows]
-    plain = {"t": delta.table, "v": delta.version, "w": delta.whole, "r": rows, "a": age_ms}
-    return {**plain, "c": delta.changed, "e": delta.era}
+    plain = {"t": delta.table, "v": delta.version, "w": delta.is_snapshot, "r": rows, "a": age_ms}
+    return {**plain, "c": delta.changed, "e": delta.epoch}
 
 
 def unpack_delta(plain: Any) -> tuple[TableDelta, int]:  # noqa: ANN401 - checked here
--- a/dunlinnotch/state/crashes.py
+++ b/dunlinnotch/state/crashes.py
@@ -35,7 +35,7 @@
 TARGETS_MOST = 16
 
 
-class Span(NamedTuple):
+class ServingSpan(NamedTuple):
     """From when until when a target had a request under which it ended."""
 
     began: Seconds
@@ -43,7 +43,7 @@
 
 
 @dataclass(slots=True)
-class Evidence:
+class CrashRecord:
     """What is known of one request under which targets ended.
 
     Parameters
@@ -54,7 +54,7 @@
         How often a target answered it after others had ended under it.
     answered_at : float, default -inf
         When it was last answered so.
-    targets : dict of str to Span
+    targets : dict of str to ServingSpan
         Starts of targets that ended under it since.
 
     Notes
@@ -65,7 +65,7 @@
     request: str
     answers: int = 0
     answered_at: Seconds = -math.inf
-    targets: dict[str, Span] = field(default_factory=dict)
+    targets: dict[str, ServingSpan] = field(default_factory=dict)
 
     @property
     def last_at(self) -> Seconds:
@@ -88,7 +88,7 @@
         return count
 
     @property
-    def barred_until(self) -> Seconds:
+    def quarantined_until(self) -> Seconds:
         """Until when the request is to be sent to no target; -inf if it may be sent."""
         beyond = self.in_turn - BAR_AT
         if beyond < 0:
@@ -96,9 +96,9 @@
         last = max(span.ended for span in self.targets.values())
         return last + min(BAR_MOST_S, BAR_FIRST_S * float(2**beyond))
 
-    def barred_for(self, now: Seconds) -> Seconds:
+    def quarantine_left(self, now: Seconds) -> Seconds:
         """Return how long the request is to be sent to no target; 0 if it may be sent."""
-        return max(0.0, self.barred_until - now)
+        return max(0.0, self.quarantined_until - now)
 
     @property
     def settled(self) -> bool:
@@ -111,7 +111,7 @@
         seen = "\0".join((self.request, str(self.answers), *sorted(self.targets)))
         return int(xxhash.xxh64_intdigest(seen.encode()))
 
-    def merge(self, other: Evidence) -> bool:
+    def merge(self, other: CrashRecord) -> bool:
         """Take in what somebody else saw of the same request; return whether it was new."""
         if other.answers < self.answers:
             return False
@@ -131,7 +131,7 @@
             del self.targets[target]
 
 
-def _by_end(span: Span) -> Seconds:
+def _by_end(span: ServingSpan) -> Seconds:
     return span.ended
 
 
@@ -151,7 +151,7 @@
 
     def __init__(self, *, clock: Clock) -> None:
         self._clock = clock
-        self._seen: dict[str, Evidence] = {}
+        self._seen: dict[str, CrashRecord] = {}
         self._swept_at = -math.inf
 
     def __len__(self) -> int:
@@ -163,16 +163,16 @@
         return self._clock()
 
     @property
-    def settled(self) -> list[Evidence]:
+    def settled(self) -> list[CrashRecord]:
         """The evidence that bars a request, or takes back what others may hold."""
         now = self._clock()
         return [e for e in self._seen.values() if e.settled and e.last_at > now - KEEP_S]
 
     @property
-    def barred(self) -> int:
+    def quarantined(self) -> int:
         """How many requests are to be sent to no target."""
         now = self._clock()
-        return sum(evidence.barred_until > now for evidence in self._seen.values())
+        return sum(evidence.quarantined_until > now for evidence in self._seen.values())
 
     @property
     def digest(self) -> int:
@@ -182,46 +182,48 @@
             digest ^= evidence.digest
         return digest
 
-    def find(self, request: str) -> Evidence | None:
+    def find(self, request: str) -> CrashRecord | None:
         """Return the evidence on a request."""
         return self._seen.get(request)
 
-    def note_ended(self, request: str, targets: Mapping[str, Span]) -> Evidence | None:
+    def note_ended(self, request: str, targets: Mapping[str, ServingSpan]) -> CrashRecord | None:
         """Note targets that ended under a request; return the evidence if it is new."""
         return self.merge(self.with_ended(request, targets))
 
-    def with_ended(self, request: str, targets: Mapping[str, Span]) -> Evidence:
+    def with_ended(self, request: str, targets: Mapping[str, ServingSpan]) -> CrashRecord:
         """Return what would be known with further targets, without noting them."""
         known = self._seen.get(request)
-        evidence = Evidence(request, 0 if known is None else known.answers, targets=dict(targets))
+        evidence = CrashRecord(
+            request, 0 if known is None else known.answers, targets=dict(targets)
+        )
         if known is not None:
             evidence.merge(known)
         return evidence
 
-    def note_answered(self, request: str) -> Evidence | None:
+    def note_answered(self, request: str) -> CrashRecord | None:
         """Note that a target answered a request; return the evidence if that is new."""
         known = self._seen.get(request)
         if known is None or not known.targets:
             return None
-        return self.merge(Evidence(request, known.answers + 1, self._clock()))
+        return self.merge(CrashRecord(request, known.answers + 1, self._clock()))
 
-    def merge(self, other: Evidence) -> Evidence | None:
+    def merge(self, other: CrashRecord) -> CrashRecord | None:
         """Take in evidence; return all that is known of its request if some was new."""
         now = self._clock()
         if other.last_at <= now - KEEP_S:
             return None
         if now - self._swept_at >= _SWEEP_S or len(self._seen) >= _SWEEP_AT:
             self._sweep(now)
-        known = self._seen.get(other.request) or Evidence(other.request)
+        known = self._seen.get(other.request) or CrashRecord(other.request)
         if not known.merge(other):
             return None
         self._seen[other.request] = known
         return known
 
-    def barred_for(self, request: str) -> Seconds:
+    def quarantine_left(self, request: str) -> Seconds:
         """Return how long a request is to be sent to no target; 0 if it may be sent."""
         known = self._seen.get(request)
-        return 0.0 if known is None else known.barred_for(self._clock())
+        return 0.0 if known is None else known.quarantine_left(self._clock())
 
     def _sweep(self, now: Seconds) -> None:
         """Drop what has lapsed, and what is too much.
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -42,10 +42,10 @@
 from dunlinnotch.protocol.mesh import BoxWord
 from dunlinnotch.protocol.outcome import Outcome
 from dunlinnotch.protocol.relay import Verdict
-from dunlinnotch.state.crashes import Evidence
-from dunlinnotch.state.followed import FollowedTable
+from dunlinnotch.state.crashes import CrashRecord
 from dunlinnotch.state.instances import InstanceList, ListedTarget
 from dunlinnotch.state.ledger import Claim, ClaimStatus, KeyEntry, OnceLedger
+from dunlinnotch.state.table_replica import TableReplica
 from dunlinnotch.state.targets import TargetRecord
 from dunlinnotch.state.tree import SettingsTree
 from dunlinnotch.transport.targets import ConnectionPools
@@ -184,19 +184,19 @@
     return False
 
 
-def _since_without_floor(self, version, era=0):
+def _since_without_floor(self, version, epoch=0):
     self._gone_floor = 0
-    return _since(self, version, era)
+    return _since(self, version, epoch)
 
 
-_since = FollowedTable.since
+_since = TableReplica.delta_since
 
 
-def _any_era(self, delta, *, at):
-    return _take_delta(self, replace(delta, era=self.era), at=at)
+def _any_epoch(self, delta, *, at):
+    return _take_delta(self, replace(delta, epoch=self.epoch), at=at)
 
 
-_take_delta = FollowedTable.take
+_take_delta = TableReplica.apply
 
 
 def _keep_once(self):
@@ -329,7 +329,7 @@
     Mutant("keep no bar in the store", CrashNews, "_keep", _keep_nothing, CRASH_NEWS),
     Mutant(
         "count targets that ended at once",
-        Evidence,
+        CrashRecord,
         "in_turn",
         property(_all_at_once_count),
         "tests/test_crashes.py",
@@ -359,10 +359,10 @@
     Mutant("let no target leave", InstanceList, "_take_leaving", _leave_nothing, ENTRY),
     Mutant(
         "tell a peer only what one saw",
-        FollowedTable,
-        "since",
+        TableReplica,
+        "delta_since",
         _since_without_floor,
-        "tests/test_followed.py",
+        "tests/test_table_replica.py",
     ),
     Mutant(
         "go back to older settings",
@@ -404,10 +404,10 @@
     ),
     Mutant(
         "read on through a store that went back",
-        FollowedTable,
-        "take",
-        _any_era,
-        "tests/test_followed.py",
+        TableReplica,
+        "apply",
+        _any_epoch,
+        "tests/test_table_replica.py",
     ),
     Mutant(
         "keep a bar in the store only once",
--- a/tests/test_crash_guard.py
+++ b/tests/test_crash_guard.py
@@ -70,7 +70,7 @@
     assert crash_guard.quarantine_left(tracked) == 0
     check_targets(crash_guard, tracked, "b")
     assert crash_guard.quarantine_left(tracked) > 0
-    assert log.barred_for("f") == 0
+    assert log.quarantine_left("f") == 0
 
 
 def test_a_request_that_was_at_the_wrong_target_and_is_answered_is_told_of_to_nobody():
@@ -99,8 +99,8 @@
         crash_guard.record_end(
             TrackedRequest(Fingerprint(f"query {target}", "path")), answered=True
         )
-    assert log.barred_for("worst query") > 0
-    assert log.barred_for("path") == 0
+    assert log.quarantine_left("worst query") > 0
+    assert log.quarantine_left("path") == 0
     assert crash_guard.quarantine_left(TrackedRequest(Fingerprint("another query", "path"))) == 0
 
 
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -13,7 +13,7 @@
 from dunlinnotch.coordination.settings.following import TableFollower
 from dunlinnotch.errors import PlatformUnavailableError
 from dunlinnotch.protocol.store import HistoryGone
-from dunlinnotch.state.followed import FollowedTable, TableDelta, TableRow
+from dunlinnotch.state.table_replica import TableDelta, TableReplica, TableRow
 from tests.stream_world import until
 
 
@@ -48,7 +48,7 @@
 
     async def bounded():
         source = Source()
-        table = FollowedTable("t", lambda _: None)
+        table = TableReplica("t", lambda _: None)
         mesh = Mesh(
             name="a",
             place="p",
@@ -125,7 +125,7 @@
     async def test(source, table, follower, news):
         await until(lambda: source.asked == [1])
         # A peer tells version 4; the call that hangs should have told it as well.
-        table.take(TableDelta("t", 4, False, (TableRow("k", 4, b"x"),)), at=0.0)
+        table.apply(TableDelta("t", 4, False, (TableRow("k", 4, b"x"),)), at=0.0)
         follower.restart_if_behind()
         await until(lambda: source.asked == [1, 4])
 
@@ -136,8 +136,8 @@
     """It can't be followed, but it must not be read without end either."""
 
     async def test(source, table, follower, news):
-        table.take(replace(source.whole(), version=9, era=3), at=0.0)
-        source.whole = lambda: TableDelta("t", 20, True, (TableRow("k", 20, b"w"),), era=1)
+        table.apply(replace(source.whole(), version=9, epoch=3), at=0.0)
+        source.whole = lambda: TableDelta("t", 20, True, (TableRow("k", 20, b"w"),), epoch=1)
 
         async def gone(table, after, wait):
             return HistoryGone()
@@ -146,7 +146,7 @@
         await until(lambda: source.reads >= 5)
         assert follower.failing
         assert follower._failures >= 3
-        assert (table.era, table.version) == (3, 9)
+        assert (table.epoch, table.version) == (3, 9)
 
     follow(test)
 
@@ -171,7 +171,7 @@
     async def test(source, table, follower, news):
         source.answers = ["hang"]
         await until(lambda: source.asked == [1])
-        table.take(TableDelta("t", 7, False, ()), at=1.0)
+        table.apply(TableDelta("t", 7, False, ()), at=1.0)
         follower.restart_if_behind()
         await asyncio.sleep(following._BEHIND_GRACE_S * 2)
         assert source.asked == [1]
--- a/tests/test_store_tables.py
+++ b/tests/test_store_tables.py
@@ -8,9 +8,9 @@
     TargetListing,
 )
 from dunlinnotch.errors import SettingsError
-from dunlinnotch.state.followed import TableDelta, TableRow
 from dunlinnotch.state.instances import InstanceList, ListedTarget
 from dunlinnotch.state.routes import CallerLimits, RouteTable
+from dunlinnotch.state.table_replica import TableDelta, TableRow
 
 
 class Clock:
