--- a/dunlinnotch/coordination/membership/crash_news.py
+++ b/dunlinnotch/coordination/membership/crash_gossip.py
@@ -63,7 +63,7 @@
 _log = logging.getLogger(__name__)
 
 
-class CrashNews:
+class CrashGossip:
     """Tell the evidence of this box, and take in that of the others.
 
     Parameters
--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -16,7 +16,7 @@
 from dunlinnotch.coordination.choosing.asking import TargetSeeker
 from dunlinnotch.coordination.choosing.fresh import FreshChooser
 from dunlinnotch.coordination.choosing.work_times import WorkTimes
-from dunlinnotch.coordination.membership.crash_news import CrashNews
+from dunlinnotch.coordination.membership.crash_gossip import CrashGossip
 from dunlinnotch.coordination.membership.mesh import DRAINING, RUNNING, STALE_S, Mesh
 from dunlinnotch.coordination.membership.wake import WakeWatch
 from dunlinnotch.coordination.requests.crash_guard import CrashGuard
@@ -181,7 +181,7 @@
         self.figures = Figures(self._gauges)
         self._targets = TargetClient(adapter.targets)
         self.crashes = CrashLog(clock=elapsed)
-        self.crash_news = CrashNews(
+        self.crash_gossip = CrashGossip(
             self.crashes,
             self.mesh,
             adapter.rows,
@@ -190,8 +190,8 @@
             era=lambda: max(table.era for table in self.tables.values()),
             rng=rng,
         )
-        self.gossip.join(self.crash_news, self.followers)
-        self._crash_guard = CrashGuard(self.crashes, self._targets, tell=self.crash_news.tell)
+        self.gossip.join(self.crash_gossip, self.followers)
+        self._crash_guard = CrashGuard(self.crashes, self._targets, tell=self.crash_gossip.tell)
         self.probes = ProbeShare(settings.probes_per_s, clock=clock)
         self.times = WorkTimes()
         chooser = FreshChooser(place=settings.place, times=self.times, rng=rng)
@@ -245,7 +245,7 @@
         await self.gossip.hear_peers()
         for follower in self.followers:
             self._spawn(follower.run())
-        self._spawn(self.crash_news.run())
+        self._spawn(self.crash_gossip.run())
         self._spawn(self._look_after())
         await self._stop_asked.wait()
         await self._stop()
@@ -325,7 +325,7 @@
 
     def _can_serve(self) -> bool:
         known = self.routes.table is not None and all(t.known for t in self.tables.values())
-        return known and self.crash_news.may_serve
+        return known and self.crash_gossip.may_serve
 
     def _outdated(self) -> bool:
         return any(self.mesh.age(table) > STALE_S for table in self.tables.values())
--- a/dunlinnotch/daemon/gossip.py
+++ b/dunlinnotch/daemon/gossip.py
@@ -14,7 +14,7 @@
     import random
     from collections.abc import Callable, Coroutine, Iterable, Sequence
 
-    from dunlinnotch.coordination.membership.crash_news import CrashNews
+    from dunlinnotch.coordination.membership.crash_gossip import CrashGossip
     from dunlinnotch.coordination.membership.mesh import Mesh
     from dunlinnotch.coordination.settings.beliefs import RoutesInForce
     from dunlinnotch.coordination.settings.following import TableFollower
@@ -82,12 +82,12 @@
         self._words = WordPort(self._take_word, self._take_crashes)
         self._table_port = TablePort(self._tell_table)
         self._fetching: set[str] = set()
-        self._crash_news: CrashNews | None = None
+        self._crash_gossip: CrashGossip | None = None
         self._followers: Sequence[TableFollower] = ()
 
-    def join(self, crash_news: CrashNews, followers: Sequence[TableFollower]) -> None:
+    def join(self, crash_gossip: CrashGossip, followers: Sequence[TableFollower]) -> None:
         """Pass on what peers tell to those that also tell by this; once, before it listens."""
-        self._crash_news = crash_news
+        self._crash_gossip = crash_gossip
         self._followers = followers
 
     async def listen(self, address: Address) -> None:
@@ -182,8 +182,8 @@
             if later is not None:
                 self._words.send([later], [word.peer])
             return
-        if self._crash_news is not None:
-            self._crash_news.heard(word)
+        if self._crash_gossip is not None:
+            self._crash_gossip.heard(word)
         if word.wants_word:
             self._introduce(word)
         elif new:
@@ -195,8 +195,8 @@
                 self._spawn(self._fetch(table, word.peer))
 
     def _take_crashes(self, seen: SeenCrashes) -> None:
-        if self._crash_news is not None:
-            self._crash_news.take(seen)
+        if self._crash_gossip is not None:
+            self._crash_gossip.take(seen)
 
     # -- tables
 
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -21,7 +21,7 @@
 from dunlinnotch.coordination.choosing.fresh import FreshChooser
 from dunlinnotch.coordination.choosing.saturation import Saturation
 from dunlinnotch.coordination.choosing.work_times import WorkTimes
-from dunlinnotch.coordination.membership.crash_news import CrashNews
+from dunlinnotch.coordination.membership.crash_gossip import CrashGossip
 from dunlinnotch.coordination.membership.links import Links
 from dunlinnotch.coordination.membership.mesh import STALE_S, Mesh
 from dunlinnotch.coordination.membership.rows import Membership
@@ -316,7 +316,7 @@
 _REQUEST_HEADERS = WorkerDialect.request_headers
 
 ENTRY, SHARES = "tests/test_entry.py", "tests/test_shares.py"
-CRASHING, CRASH_NEWS = "tests/test_crashing.py", "tests/test_crash_news.py"
+CRASHING, CRASH_GOSSIP = "tests/test_crashing.py", "tests/test_crash_gossip.py"
 LINKS, ASKING = "tests/test_links.py", "tests/test_asking.py"
 REST, LEAVING = "tests/test_rest.py", "tests/test_leaving_words.py"
 
@@ -325,8 +325,8 @@
     Mutant("take any answer for one's own", WorkerDialect, "judge", _anybodys_answer, ENTRY),
     Mutant("promise for a bare 503", WorkerDialect, "judge", _no_promise_checked, ENTRY),
     Mutant("bar no request", CrashGuard, "barred_for", _bar_nothing, CRASHING),
-    Mutant("tell no peer what ended targets", CrashNews, "_changed", _tell_no_peer, CRASH_NEWS),
-    Mutant("keep no bar in the store", CrashNews, "_keep", _keep_nothing, CRASH_NEWS),
+    Mutant("tell no peer what ended targets", CrashGossip, "_changed", _tell_no_peer, CRASH_GOSSIP),
+    Mutant("keep no bar in the store", CrashGossip, "_keep", _keep_nothing, CRASH_GOSSIP),
     Mutant(
         "count targets that ended at once",
         Evidence,
@@ -411,10 +411,10 @@
     ),
     Mutant(
         "keep a bar in the store only once",
-        CrashNews,
+        CrashGossip,
         "_keep_again",
         _keep_once,
-        "tests/test_crash_news.py",
+        "tests/test_crash_gossip.py",
     ),
     Mutant(
         "hold to the number of a start", Mesh, "_outgrow", _never_renumber, "tests/test_mesh.py"
--- a/tests/test_crash_news.py
+++ b/tests/test_crash_gossip.py
@@ -8,7 +8,7 @@
 import pytest
 
 from benchmarks._boxes import BEAT_S, Boxes
-from dunlinnotch.coordination.membership.crash_news import TABLE, CrashNews
+from dunlinnotch.coordination.membership.crash_gossip import TABLE, CrashGossip
 from dunlinnotch.errors import PlatformUnavailableError
 from dunlinnotch.protocol.mesh import pack_messages
 from dunlinnotch.protocol.store import RowsRead
@@ -75,7 +75,7 @@
                 self.queue += [(message, peer) for peer in to]
 
         rng = random.Random(1)
-        return CrashNews(
+        return CrashGossip(
             self.logs[name],
             self.meshes[name],
             self.store,
@@ -178,7 +178,7 @@
         boxes.clock.now = clock
     log = CrashLog(clock=boxes.clock)
     mesh = boxes.meshes["box-0"]
-    news = CrashNews(
+    news = CrashGossip(
         log,
         mesh,
         store,
