--- a/dunlinnotch/coordination/membership/wake.py
+++ b/dunlinnotch/coordination/membership/pause_detector.py
@@ -14,15 +14,15 @@
 
 #: A box that did not look after itself for so long stood still, in seconds: ten times its
 #: usual pause, and under a quarter of the age at which its knowledge is too old.
-STOOD_STILL_S = 0.5
+PAUSE_THRESHOLD_S = 0.5
 #: A box that goes on waits at most so long for its knowledge to be renewed, in seconds: two
 #: words of each peer.  Then the store or the peers are away, which stops no box.
-CATCH_UP_S = 1.0
+CATCH_UP_TIMEOUT_S = 1.0
 
 _log = logging.getLogger(__name__)
 
 
-class WakeWatch:
+class PauseDetector:
     """Judge whether the box may act on what it knew before it stood still.
 
     Parameters
@@ -39,7 +39,7 @@
         self._looked_at = clock()
         self._until: Seconds = 0.0
 
-    def look(self) -> bool:
+    def check(self) -> bool:
         """Note that the box looks after itself, which it does many times a second.
 
         Returns
@@ -50,9 +50,9 @@
         now = self._clock()
         still = now - self._looked_at
         self._looked_at = now
-        if still <= STOOD_STILL_S:
+        if still <= PAUSE_THRESHOLD_S:
             return False
-        self._until = now + CATCH_UP_S
+        self._until = now + CATCH_UP_TIMEOUT_S
         outdated = self._outdated()
         event(_log, "stood-still", still_s=round(still, 2), outdated=outdated)
         return outdated
@@ -67,5 +67,5 @@
         time since the last look counts too.
         """
         now = self._clock()
-        just_woke = now < self._until or now - self._looked_at > STOOD_STILL_S
+        just_woke = now < self._until or now - self._looked_at > PAUSE_THRESHOLD_S
         return just_woke and self._outdated()
--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -18,7 +18,7 @@
 from dunlinnotch.coordination.choosing.work_times import WorkTimes
 from dunlinnotch.coordination.membership.crash_gossip import CrashGossip
 from dunlinnotch.coordination.membership.mesh import DRAINING, RUNNING, STALE_S, Mesh
-from dunlinnotch.coordination.membership.wake import WakeWatch
+from dunlinnotch.coordination.membership.pause_detector import PauseDetector
 from dunlinnotch.coordination.requests.crash_guard import CrashGuard
 from dunlinnotch.coordination.requests.forward import Forwarder
 from dunlinnotch.coordination.settings.beliefs import RoutesInForce, TargetsListed
@@ -177,7 +177,7 @@
             )
             for table in self.tables.values()
         ]
-        self.wake = WakeWatch(clock=clock, outdated=self._outdated)
+        self.pause_detector = PauseDetector(clock=clock, outdated=self._outdated)
         self.figures = Figures(self._gauges)
         self._targets = TargetClient(adapter.targets)
         self.crashes = CrashLog(clock=elapsed)
@@ -207,7 +207,7 @@
         self.forwarder = Forwarder(
             routes=lambda: self.routes.table,
             age=lambda: self.mesh.age(self._settings_rows),
-            catching_up=lambda: self.wake.catching_up,
+            catching_up=lambda: self.pause_detector.catching_up,
             instances=self.instances,
             chooser=chooser,
             times=self.times,
@@ -286,7 +286,7 @@
     @property
     def ready(self) -> bool:
         """Whether the box takes new work."""
-        return self.mesh.state == RUNNING and not self.wake.catching_up
+        return self.mesh.state == RUNNING and not self.pause_detector.catching_up
 
     def _spawn(self, work: Coroutine[None, None, None]) -> None:
         task = self._loop.create_task(self._guard(work))
@@ -305,7 +305,7 @@
     async def _look_after(self) -> None:
         """Keep up what depends on time."""
         while True:
-            if self.wake.look():
+            if self.pause_detector.check():
                 self.gossip.ask_few()
             if self.mesh.state not in (RUNNING, DRAINING) and self._can_serve():
                 self.mesh.state = RUNNING
--- a/dunlinnotch/platform/doors.py
+++ b/dunlinnotch/platform/doors.py
@@ -45,7 +45,7 @@
             return
         place = parse_qs(query).get("zone", [""])[0]
         addresses = self._box.mesh.offered(place)[:_ADDRESSES_MOST]
-        if not addresses or self._box.wake.catching_up:
+        if not addresses or self._box.pause_detector.catching_up:
             exchange.reply(503, (Header("Retry-After", "0.2"),), b"")
             return
         body = json.dumps({"addresses": addresses, "ttl": self._ttl}).encode()
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -24,8 +24,8 @@
 from dunlinnotch.coordination.membership.crash_gossip import CrashGossip
 from dunlinnotch.coordination.membership.links import Links
 from dunlinnotch.coordination.membership.mesh import STALE_S, Mesh
+from dunlinnotch.coordination.membership.pause_detector import PauseDetector
 from dunlinnotch.coordination.membership.rows import Membership
-from dunlinnotch.coordination.membership.wake import WakeWatch
 from dunlinnotch.coordination.requests import once
 from dunlinnotch.coordination.requests.crash_guard import CrashGuard
 from dunlinnotch.coordination.requests.drain import Drain
@@ -208,7 +208,7 @@
 
 
 def _ready_while_stopping(self):
-    return not self.wake.catching_up and self.mesh.state != "starting"
+    return not self.pause_detector.catching_up and self.mesh.state != "starting"
 
 
 def _any_version(self, data, row_version):
@@ -336,10 +336,10 @@
     ),
     Mutant(
         "act at once on waking",
-        WakeWatch,
+        PauseDetector,
         "catching_up",
         property(_never_catch_up),
-        "tests/test_wake.py",
+        "tests/test_pause_detector.py",
     ),
     Mutant(
         "take starts for one",
--- a/tests/test_wake.py
+++ b/tests/test_pause_detector.py
@@ -8,46 +8,50 @@
 
 from benchmarks._boxes import Clock
 from dunlinnotch.coordination.membership.mesh import STALE_S
-from dunlinnotch.coordination.membership.wake import CATCH_UP_S, STOOD_STILL_S, WakeWatch
+from dunlinnotch.coordination.membership.pause_detector import (
+    CATCH_UP_TIMEOUT_S,
+    PAUSE_THRESHOLD_S,
+    PauseDetector,
+)
 from dunlinnotch.daemon import loop as loops
 from tests.stream_world import call, stream_world, until
 
 SUSPENDED_S = 5.0
 
 
-def watch(*, outdated=True):
+def make_detector(*, outdated=True):
     clock = Clock()
-    return clock, WakeWatch(clock=clock, outdated=lambda: outdated)
+    return clock, PauseDetector(clock=clock, outdated=lambda: outdated)
 
 
 def test_a_box_that_runs_is_never_catching_up():
-    clock, wake = watch()
+    clock, detector = make_detector()
     for _ in range(20):
-        clock.now += STOOD_STILL_S / 2
-        wake.look()
-        assert not wake.catching_up
+        clock.now += PAUSE_THRESHOLD_S / 2
+        detector.check()
+        assert not detector.catching_up
 
 
 def test_a_box_that_stood_still_waits_for_news_but_not_for_ever():
-    clock, wake = watch()
+    clock, detector = make_detector()
     clock.now += SUSPENDED_S
     # Requests are taken before it looks after itself.
-    assert wake.catching_up
-    assert wake.look()
-    assert wake.catching_up
-    clock.now += CATCH_UP_S / 2
-    assert not wake.look()
-    assert wake.catching_up
-    clock.now += CATCH_UP_S / 2
-    wake.look()
-    assert not wake.catching_up
+    assert detector.catching_up
+    assert detector.check()
+    assert detector.catching_up
+    clock.now += CATCH_UP_TIMEOUT_S / 2
+    assert not detector.check()
+    assert detector.catching_up
+    clock.now += CATCH_UP_TIMEOUT_S / 2
+    detector.check()
+    assert not detector.catching_up
 
 
 def test_a_box_that_knows_enough_goes_on_at_once():
-    clock, wake = watch(outdated=False)
+    clock, detector = make_detector(outdated=False)
     clock.now += SUSPENDED_S
-    assert not wake.catching_up
-    assert not wake.look()
+    assert not detector.catching_up
+    assert not detector.check()
 
 
 @pytest.fixture
