--- a/benchmarks/_boxes.py
+++ b/benchmarks/_boxes.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from collections.abc import Sequence
 
-    from dunlinnotch.protocol.mesh import BoxWord
+    from dunlinnotch.protocol.mesh import Heartbeat
 
 PLACES = ("ikeja", "lekki", "surulere", "yaba")
 BEAT_S = 0.5
@@ -74,7 +74,7 @@
         self.tables[name] = table
         self.meshes[name] = mesh
 
-    def send(self, words: Sequence[BoxWord], peers: Sequence[str]) -> None:
+    def send(self, words: Sequence[Heartbeat], peers: Sequence[str]) -> None:
         """Deliver words; whoever is behind takes the table over and passes the news on."""
         queue = [(words, peer) for peer in peers]
         while queue:
@@ -85,20 +85,20 @@
                 for word in words:
                     queue += self._take(peer, word)
 
-    def _take(self, name: str, word: BoxWord) -> list[tuple[Sequence[BoxWord], str]]:
+    def _take(self, name: str, word: Heartbeat) -> list[tuple[Sequence[Heartbeat], str]]:
         """Have a box take in a word; return what it sends because of it."""
         mesh = self.meshes[name]
         new = not mesh.knows(word.name)
         if not mesh.take(word):
             return []
-        answers: list[tuple[Sequence[BoxWord], str]] = []
-        if word.wants_word:
-            answers.append(([mesh.own_word(), *mesh.introductions(word.place)], word.peer))
+        answers: list[tuple[Sequence[Heartbeat], str]] = []
+        if word.reply_requested:
+            answers.append(([mesh.own_heartbeat(), *mesh.introductions(word.place)], word.peer))
         elif new:
-            answers.append(([mesh.own_word()], word.peer))
+            answers.append(([mesh.own_heartbeat()], word.peer))
         if mesh.newer(word):
             self._fetch(name, word.name)
-            answers += [([mesh.own_word()], other) for other in mesh.to_tell_news()]
+            answers += [([mesh.own_heartbeat()], other) for other in mesh.to_tell_news()]
         return answers
 
     def _fetch(self, name: str, teller: str) -> None:
@@ -110,7 +110,9 @@
         """Have each box ask the seeds whom to know."""
         seeds = list(self.meshes)[:_SEEDS]
         for name, mesh in self.meshes.items():
-            self.send([mesh.own_word(wants_word=True)], [seed for seed in seeds if seed != name])
+            self.send(
+                [mesh.own_heartbeat(reply_requested=True)], [seed for seed in seeds if seed != name]
+            )
 
     def beat(self) -> None:
         """Let a turn go by, and each box tell its word."""
@@ -120,7 +122,7 @@
 
     def tell(self, mesh: Mesh, near: Sequence[str]) -> None:
         """Have a box tell its word near by and far away."""
-        word = mesh.own_word()
+        word = mesh.own_heartbeat()
         self.send([word], near)
         self.send([word, *mesh.follower()], mesh.to_tell_far())
 
--- a/dunlinnotch/coordination/membership/crash_gossip.py
+++ b/dunlinnotch/coordination/membership/crash_gossip.py
@@ -32,7 +32,7 @@
     from collections.abc import Callable, Iterable, Sequence
 
     from dunlinnotch.coordination.membership.mesh import Mesh
-    from dunlinnotch.protocol.mesh import BoxWord
+    from dunlinnotch.protocol.mesh import Heartbeat
     from dunlinnotch.protocol.store import RowsRead, RowStore
     from dunlinnotch.state.crashes import CrashLog, Evidence
     from dunlinnotch.types import Address, Seconds
@@ -127,7 +127,7 @@
         if evidence is not None:
             self._changed([evidence], keeps=self._mesh.is_first())
 
-    def heard(self, word: BoxWord) -> None:
+    def heard(self, word: Heartbeat) -> None:
         """Compare a peer's evidence with this box's own."""
         digest = self._evidence.digest
         if word.crashes == digest:
--- a/dunlinnotch/coordination/membership/links.py
+++ b/dunlinnotch/coordination/membership/links.py
@@ -16,7 +16,7 @@
     import random
     from collections.abc import Iterable, Sequence
 
-    from dunlinnotch.protocol.mesh import BoxWord
+    from dunlinnotch.protocol.mesh import Heartbeat
 
 #: Up to so many others, everybody is told everything: bytes between places are dear, and
 #: of 17 boxes in three places two thirds of what a box tells would go elsewhere.
@@ -48,12 +48,12 @@
         self._place = place
         self._rng = rng
 
-    def near(self, words: Sequence[BoxWord]) -> list[BoxWord]:
+    def near(self, words: Sequence[Heartbeat]) -> list[Heartbeat]:
         """Return the boxes that are to know this one at all times.
 
         Parameters
         ----------
-        words : sequence of BoxWord
+        words : sequence of Heartbeat
             The last words of all boxes known.
         """
         if len(words) <= FULL_MESH:
@@ -63,19 +63,19 @@
             return list(own.values())
         return [own[name] for name in highest(self._name, own, NEAR_MOST)]
 
-    def far(self, words: Sequence[BoxWord], *, follows: bool) -> list[BoxWord]:
+    def far(self, words: Sequence[Heartbeat], *, follows: bool) -> list[Heartbeat]:
         """Return a box of each other place, drawn by chance; none in a small system.
 
         Parameters
         ----------
-        words : sequence of BoxWord
+        words : sequence of Heartbeat
             The last words of all boxes known.
         follows : bool
             Whether this box follows the store; those that do tell each other.
         """
         if len(words) <= FULL_MESH:
             return []
-        drawn: dict[str, BoxWord] = {}
+        drawn: dict[str, Heartbeat] = {}
         for place, known in _by_place(words).items():
             if place != self._place:
                 some = self._rng.sample(known, min(_FAR, len(known)))
@@ -83,18 +83,18 @@
                 drawn.update((word.name, word) for word in some)
         return list(drawn.values())
 
-    def introduced(self, place: str, live: Sequence[BoxWord]) -> list[BoxWord]:
+    def introduced(self, place: str, live: Sequence[Heartbeat]) -> list[Heartbeat]:
         """Return the boxes of which a new box of a place is told.
 
         Parameters
         ----------
         place : str
-        live : sequence of BoxWord
+        live : sequence of Heartbeat
             The words that were heard lately.
         """
         if len(live) <= _INTRODUCED_ALL:
             return list(live)
-        chosen: list[BoxWord] = []
+        chosen: list[Heartbeat] = []
         for where, known in _by_place(live).items():
             most = NEAR_MOST if where == place else _FAR_INTRODUCED
             first = [word for word in known if word.follows]
@@ -102,7 +102,7 @@
             chosen += (first + self._rng.sample(rest, len(rest)))[:most]
         return chosen
 
-    def news(self, words: Sequence[BoxWord]) -> list[BoxWord]:
+    def news(self, words: Sequence[Heartbeat]) -> list[Heartbeat]:
         """Return the boxes to which news of a table goes at once; they pass it on."""
         near = self.near(words)
         if len(words) <= FULL_MESH or len(near) <= _NEWS_NEAR:
@@ -110,8 +110,8 @@
         return self._rng.sample(near, _NEWS_NEAR)
 
 
-def _by_place(words: Iterable[BoxWord]) -> dict[str, list[BoxWord]]:
-    places: dict[str, list[BoxWord]] = {}
+def _by_place(words: Iterable[Heartbeat]) -> dict[str, list[Heartbeat]]:
+    places: dict[str, list[Heartbeat]] = {}
     for word in words:
         places.setdefault(word.place, []).append(word)
     return places
--- a/dunlinnotch/coordination/membership/mesh.py
+++ b/dunlinnotch/coordination/membership/mesh.py
@@ -16,7 +16,7 @@
 from dunlinnotch._logs import event
 from dunlinnotch.coordination.choosing.subset import highest
 from dunlinnotch.coordination.membership.links import Links
-from dunlinnotch.protocol.mesh import BoxWord, TableState
+from dunlinnotch.protocol.mesh import Heartbeat, TableState
 
 if TYPE_CHECKING:
     import random
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True)
 class _Heard:
-    word: BoxWord
+    word: Heartbeat
     at: Seconds
     silent: bool = False
 
@@ -93,7 +93,7 @@
         self._links = Links(name, place, rng=rng)
         self._patient_until = clock() + rng.uniform(*START_PATIENCE_S)
 
-    def own_word(self, *, wants_word: bool = False) -> BoxWord:
+    def own_heartbeat(self, *, reply_requested: bool = False) -> Heartbeat:
         """Return a new word of this box."""
         self._seq += 1
         now = self._clock()
@@ -106,7 +106,7 @@
             )
             for name, table in self._tables.items()
         }
-        return BoxWord(
+        return Heartbeat(
             name=self.name,
             place=self.place,
             incarnation=self._incarnation,
@@ -119,18 +119,18 @@
             in_flight=self.in_flight,
             boxes=dict(self._place_boxes),
             tables=tables,
-            wants_word=wants_word,
+            reply_requested=reply_requested,
             crashes=self.crashes,
         )
 
-    def take(self, word: BoxWord) -> bool:
+    def take(self, word: Heartbeat) -> bool:
         """Take in a word; return False if it is old or this box's own."""
         if word.name == self.name:
             self._outgrow(word)
             return False
         now = self._clock()
         known = self._heard.get(word.name)
-        if known is not None and word.age_key <= known.word.age_key:
+        if known is not None and word.recency <= known.word.recency:
             return False
         if known is None or self._differs(known.word, word):
             event(
@@ -151,14 +151,14 @@
         self._verify_by(word, now)
         return True
 
-    def later_start(self, word: BoxWord) -> BoxWord | None:
+    def later_start(self, word: Heartbeat) -> Heartbeat | None:
         """Return the word of a later start of a box than the one that sent a word, if known."""
         known = self._heard.get(word.name)
         if known is None or known.word.incarnation <= word.incarnation:
             return None
         return known.word
 
-    def _outgrow(self, word: BoxWord) -> None:
+    def _outgrow(self, word: Heartbeat) -> None:
         """Count this start after one that peers take for a later one.
 
         Notes
@@ -175,7 +175,7 @@
         """The most boxes that there may be, over all places."""
         return sum(self._place_boxes.values())
 
-    def _count(self, word: BoxWord) -> None:
+    def _count(self, word: Heartbeat) -> None:
         """Note how many boxes the places have: as many as are known, or as anybody tells."""
         known = self._known[word.place] + (word.place == self.place)
         for place, boxes in {**word.boxes, word.place: known}.items():
@@ -183,14 +183,14 @@
             self._place_boxes[place] = max(told, self._place_boxes.get(place, 0))
 
     @staticmethod
-    def _differs(old: BoxWord, new: BoxWord) -> bool:
+    def _differs(old: Heartbeat, new: Heartbeat) -> bool:
         return (old.state, old.incarnation, old.reading) != (
             new.state,
             new.incarnation,
             new.reading,
         )
 
-    def _verify_by(self, word: BoxWord, now: Seconds) -> None:
+    def _verify_by(self, word: Heartbeat, now: Seconds) -> None:
         """Take over how fresh the sender's tables are where ours are as new."""
         for name, state in word.tables.items():
             table = self._tables.get(name)
@@ -199,7 +199,7 @@
             at = now - state.age_ms / 1000
             table.take_same(state.changed, state.version, at=at, era=state.era)
 
-    def newer(self, word: BoxWord) -> list[str]:
+    def newer(self, word: Heartbeat) -> list[str]:
         """Return the tables that the sender of a word knows further than this box."""
         found = []
         for name, state in word.tables.items():
@@ -214,7 +214,7 @@
         """Return whether a box has been heard and not forgotten."""
         return name in self._heard
 
-    def others(self) -> list[BoxWord]:
+    def others(self) -> list[Heartbeat]:
         """Return the last words of all boxes not forgotten."""
         now = self._clock()
         gone = [name for name, heard in self._heard.items() if now - heard.at > FORGET_S]
@@ -243,7 +243,7 @@
         far = self._links.far(self.others(), follows=self.is_first())
         return [word.peer for word in far]
 
-    def follower(self) -> list[BoxWord]:
+    def follower(self) -> list[Heartbeat]:
         """Return the word of the box of this place that follows the store, aged until now."""
         now = self._clock()
         return [
@@ -256,13 +256,13 @@
         """Return the peers that are to hear at once of news of a table; they pass it on."""
         return [word.peer for word in self._links.news(self.others())]
 
-    def introductions(self, place: str) -> list[BoxWord]:
+    def introductions(self, place: str) -> list[Heartbeat]:
         """Return the words that a new box of a place needs to find its peers, aged until now."""
         now = self._clock()
         chosen = self._links.introduced(place, self.live())
         return [word.aged(now - self._heard[word.name].at) for word in chosen]
 
-    def live(self) -> list[BoxWord]:
+    def live(self) -> list[Heartbeat]:
         """Return the last words of the boxes heard lately, without this one."""
         now = self._clock()
         return [h.word for h in self._heard.values() if now - h.at <= SUSPECT_S]
--- a/dunlinnotch/daemon/gossip.py
+++ b/dunlinnotch/daemon/gossip.py
@@ -19,7 +19,7 @@
     from dunlinnotch.coordination.settings.beliefs import RoutesInForce
     from dunlinnotch.coordination.settings.following import TableFollower
     from dunlinnotch.protocol.crashes import SeenCrashes
-    from dunlinnotch.protocol.mesh import BoxWord
+    from dunlinnotch.protocol.mesh import Heartbeat
     from dunlinnotch.state.followed import FollowedTable, TableDelta
     from dunlinnotch.types import Address, Seconds
 
@@ -143,7 +143,7 @@
             self._tell_all(self._mesh.to_tell_news())
         elif self._mesh.is_first():
             # Its place knows by this that nothing changed, and need not read for itself.
-            self._words.send([self._mesh.own_word()], self._mesh.to_tell())
+            self._words.send([self._mesh.own_heartbeat()], self._mesh.to_tell())
 
     def send_crashes(self, seen: Iterable[SeenCrashes], to: Iterable[Address]) -> None:
         """Send evidence on requests under which targets ended."""
@@ -157,17 +157,17 @@
         self._tell_all(self._mesh.to_tell())
 
     def _ask(self, peers: Sequence[Address]) -> None:
-        self._words.send([self._mesh.own_word(wants_word=True)], peers)
+        self._words.send([self._mesh.own_heartbeat(reply_requested=True)], peers)
 
     def _tell_all(self, near: list[Address]) -> None:
         """Send this box's word to peers near by, and to a few far away with what they lack."""
-        word = self._mesh.own_word()
+        word = self._mesh.own_heartbeat()
         self._words.send([word], near)
         self._words.send([word, *self._mesh.follower()], self._mesh.to_tell_far())
 
-    def _introduce(self, word: BoxWord) -> None:
+    def _introduce(self, word: Heartbeat) -> None:
         """Answer a box that knows few others with the words of those that it is to know."""
-        words = [self._mesh.own_word(), *self._mesh.introductions(word.place)]
+        words = [self._mesh.own_heartbeat(), *self._mesh.introductions(word.place)]
         self._words.send(words, [word.peer])
 
     def _seeds(self) -> list[Address]:
@@ -175,7 +175,7 @@
 
     # -- hearing
 
-    def _take_word(self, word: BoxWord) -> None:
+    def _take_word(self, word: Heartbeat) -> None:
         new = not self._mesh.knows(word.name)
         if not self._mesh.take(word):
             later = self._mesh.later_start(word)
@@ -184,11 +184,11 @@
             return
         if self._crash_gossip is not None:
             self._crash_gossip.heard(word)
-        if word.wants_word:
+        if word.reply_requested:
             self._introduce(word)
         elif new:
             # It may know this box as little.
-            self._words.send([self._mesh.own_word()], [word.peer])
+            self._words.send([self._mesh.own_heartbeat()], [word.peer])
         for table in self._mesh.newer(word):
             if table not in self._fetching:
                 self._fetching.add(table)
@@ -215,7 +215,7 @@
             self._fetching.discard(table)
         if age_ms >= 0 and followed.take(delta, at=sent - age_ms / 1000):
             event(_log, "table-fetched", table=table, peer=peer, version=delta.version)
-            self._words.send([self._mesh.own_word()], self._mesh.to_tell_news())
+            self._words.send([self._mesh.own_heartbeat()], self._mesh.to_tell_news())
             for follower in self._followers:
                 follower.look_again()
 
--- a/dunlinnotch/protocol/mesh.py
+++ b/dunlinnotch/protocol/mesh.py
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BoxWord:
+class Heartbeat:
     """What a box says of itself.
 
     Parameters
@@ -71,7 +71,7 @@
     boxes : dict of str to int
         The most boxes of each place that the sender knows to have been at once.
     tables : dict of str to TableState
-    wants_word : bool
+    reply_requested : bool
         Whether the sender wants to hear the receiver's word now.
     crashes : int or None
         The digest of its evidence on requests that end targets; ``None`` while it does
@@ -90,15 +90,15 @@
     in_flight: int
     boxes: dict[str, int]
     tables: dict[str, TableState]
-    wants_word: bool = False
+    reply_requested: bool = False
     crashes: int | None = None
 
     @property
-    def age_key(self) -> tuple[int, int]:
+    def recency(self) -> tuple[int, int]:
         """Order of a box's words: the larger one is newer."""
         return (self.incarnation, self.seq)
 
-    def aged(self, by: Seconds) -> BoxWord:
+    def aged(self, by: Seconds) -> Heartbeat:
         """Return the word as it is to be told on ``by`` seconds after it was heard."""
         tables = {
             name: state
@@ -106,14 +106,14 @@
             else replace(state, age_ms=state.age_ms + int(by * 1000))
             for name, state in self.tables.items()
         }
-        return replace(self, tables=tables, wants_word=False)
+        return replace(self, tables=tables, reply_requested=False)
 
 
-def pack_messages(messages: Iterable[BoxWord | SeenCrashes]) -> Iterator[bytes]:
+def pack_messages(messages: Iterable[Heartbeat | SeenCrashes]) -> Iterator[bytes]:
     """Return messages in as few datagrams as hold them."""
     datagram = b""
     for message in messages:
-        packed = pack_word(message) if isinstance(message, BoxWord) else pack_crashes(message)
+        packed = pack_word(message) if isinstance(message, Heartbeat) else pack_crashes(message)
         if datagram and len(datagram) + len(packed) > _DATAGRAM_MOST:
             yield datagram
             datagram = b""
@@ -122,7 +122,7 @@
         yield datagram
 
 
-def pack_word(word: BoxWord) -> bytes:
+def pack_word(word: Heartbeat) -> bytes:
     """Return a word as bytes; those of several words may follow each other."""
     tables = {n: [t.version, t.changed, t.age_ms, t.era] for n, t in word.tables.items()}
     fields = [
@@ -134,7 +134,7 @@
         word.caller,
         word.peer,
         word.state,
-        [word.reading, word.follows, word.wants_word],
+        [word.reading, word.follows, word.reply_requested],
         word.in_flight,
         tables,
         word.boxes,
@@ -144,7 +144,7 @@
     return packed
 
 
-def unpack_messages(data: bytes) -> list[BoxWord | SeenCrashes]:
+def unpack_messages(data: bytes) -> list[Heartbeat | SeenCrashes]:
     """Return the messages in a datagram.
 
     Raises
@@ -166,18 +166,18 @@
     return messages
 
 
-def _read_message(fields: Any) -> BoxWord | SeenCrashes:  # noqa: ANN401 - checked here
+def _read_message(fields: Any) -> Heartbeat | SeenCrashes:  # noqa: ANN401 - checked here
     if isinstance(fields, list) and fields and fields[0] == CRASHES_FORMAT:
         return read_crashes(fields)
     return _read_word(fields)
 
 
-def _read_word(fields: Any) -> BoxWord:  # noqa: ANN401 - checked here
+def _read_word(fields: Any) -> Heartbeat:  # noqa: ANN401 - checked here
     if not isinstance(fields, list) or len(fields) < _WORD_FIELDS or fields[0] != _FORMAT:
         msg = f"no word of format {_FORMAT}"
         raise ProtocolError(msg)
     reading, follows, wants = fields[8]
-    return BoxWord(
+    return Heartbeat(
         name=str(fields[1]),
         place=str(fields[2]),
         incarnation=int(fields[3]),
@@ -190,7 +190,7 @@
         in_flight=int(fields[9]),
         boxes={str(place): int(count) for place, count in fields[11].items()},
         tables={str(n): TableState(*map(int, state)) for n, state in fields[10].items()},
-        wants_word=bool(wants),
+        reply_requested=bool(wants),
         crashes=None if fields[12] is None else int(fields[12]),
     )
 
--- a/dunlinnotch/transport/stream/peers.py
+++ b/dunlinnotch/transport/stream/peers.py
@@ -10,7 +10,7 @@
 from dunlinnotch.errors import ProtocolError
 from dunlinnotch.protocol.crashes import SeenCrashes
 from dunlinnotch.protocol.mesh import (
-    BoxWord,
+    Heartbeat,
     pack_delta,
     pack_messages,
     unpack_delta,
@@ -42,7 +42,7 @@
     """
 
     def __init__(
-        self, on_word: Callable[[BoxWord], None], on_crashes: Callable[[SeenCrashes], None]
+        self, on_word: Callable[[Heartbeat], None], on_crashes: Callable[[SeenCrashes], None]
     ) -> None:
         self._on_word = on_word
         self._on_crashes = on_crashes
@@ -71,7 +71,7 @@
     def error_received(self, exc: Exception) -> None:
         """Do nothing: a peer that is not there is noticed by its silence."""
 
-    def send(self, messages: Iterable[BoxWord | SeenCrashes], to: Iterable[Address]) -> None:
+    def send(self, messages: Iterable[Heartbeat | SeenCrashes], to: Iterable[Address]) -> None:
         """Send messages to some peers."""
         if self._transport is None:
             return
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -39,7 +39,7 @@
 from dunlinnotch.platform.dialect import WorkerDialect
 from dunlinnotch.protocol.answers import OnceKey, parse_once_key
 from dunlinnotch.protocol.attempt import Broken
-from dunlinnotch.protocol.mesh import BoxWord
+from dunlinnotch.protocol.mesh import Heartbeat
 from dunlinnotch.protocol.outcome import Outcome
 from dunlinnotch.protocol.relay import Verdict
 from dunlinnotch.state.crashes import Evidence
@@ -382,7 +382,7 @@
     Mutant("repeat without a budget", RepeatShare, "take", _spend_freely, SHARES),
     Mutant("leave the store to others", Mesh, "is_reader", _nobody_reads, "tests/test_mesh.py"),
     Mutant("tell no other place", Links, "far", _tell_nobody_far, LINKS),
-    Mutant("take a word told on for a new one", BoxWord, "aged", _told_on_as_new, LINKS),
+    Mutant("take a word told on for a new one", Heartbeat, "aged", _told_on_as_new, LINKS),
     Mutant("count the boxes of the own place", Mesh, "_count", _count_own_place, LINKS),
     Mutant("all read the store at the start", Mesh, "stale", _impatient, "tests/test_mesh.py"),
     Mutant(
--- a/tests/test_crash_gossip.py
+++ b/tests/test_crash_gossip.py
@@ -299,7 +299,7 @@
         assert not news.may_serve
         boxes.clock.now += 3
         assert news.may_serve
-        assert boxes.meshes["box-0"].own_word().crashes is None
+        assert boxes.meshes["box-0"].own_heartbeat().crashes is None
 
     asyncio.run(test())
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -100,7 +100,7 @@
 def test_a_word_told_on_is_as_old_as_it_is():
     boxes = Boxes(40).settled()
     seed, other = boxes.meshes["box-0"], boxes.meshes["box-4"]
-    seed.take(other.own_word())
+    seed.take(other.own_heartbeat())
     before = boxes.tables["box-4"].verified_at
     boxes.clock.now += 1.0
     told = {word.name: word for word in seed.introductions(seed.place)}["box-4"]
@@ -108,7 +108,7 @@
 
 
 def test_introductions_name_those_who_follow_the_store():
-    words = [m.own_word() for m in Boxes(142).settled().meshes.values()]
+    words = [m.own_heartbeat() for m in Boxes(142).settled().meshes.values()]
     chosen = Links("box-0", "ikeja", rng=random.Random(1)).introduced("ikeja", words)
     assert {w.place for w in chosen if w.follows} == set(PLACES)
     assert len(chosen) <= NEAR_MOST + 2 * (len(PLACES) - 1)
--- a/tests/test_pause_detector.py
+++ b/tests/test_pause_detector.py
@@ -125,7 +125,7 @@
 
             def watched(messages, to):
                 messages = list(messages)
-                asked.extend(to for m in messages if getattr(m, "wants_word", False))
+                asked.extend(to for m in messages if getattr(m, "reply_requested", False))
                 send(messages, to)
 
             box.gossip._words.send = watched
