--- a/dunlinnotch/coordination/membership/crash_gossip.py
+++ b/dunlinnotch/coordination/membership/crash_gossip.py
@@ -18,7 +18,7 @@
 from dunlinnotch._logs import event
 from dunlinnotch.errors import PlatformUnavailableError, ProtocolError
 from dunlinnotch.protocol.crashes import (
-    SeenCrashes,
+    CrashReport,
     as_ages,
     from_ages,
     pack_crashes,
@@ -37,7 +37,7 @@
     from dunlinnotch.state.crashes import CrashLog, Evidence
     from dunlinnotch.types import Address, Seconds
 
-    Send = Callable[[Iterable[SeenCrashes], Iterable[Address]], None]
+    Send = Callable[[Iterable[CrashReport], Iterable[Address]], None]
 
 #: Our own table in the platform's store: a row for each barred request.
 TABLE = "requests-that-end-targets"
@@ -121,7 +121,7 @@
         """Tell peers what this box has seen itself."""
         self._changed(seen, keeps=True)
 
-    def take(self, seen: SeenCrashes) -> None:
+    def take(self, seen: CrashReport) -> None:
         """Take in what a peer tells; pass it on if it is new."""
         evidence = self._evidence.merge(from_ages(seen, self._evidence.now))
         if evidence is not None:
@@ -138,7 +138,7 @@
             self._told_all_at[word.name] = self._evidence.now
             self._send(self._settled(), [word.peer])
 
-    def _settled(self) -> list[SeenCrashes]:
+    def _settled(self) -> list[CrashReport]:
         now = self._evidence.now
         return [as_ages(evidence, now) for evidence in self._evidence.settled]
 
@@ -262,11 +262,11 @@
     return kept is not None and kept.answers == own.answers and kept.in_turn >= own.in_turn
 
 
-def _by_store(evidence: Evidence, read: RowsRead, now: Seconds) -> SeenCrashes:
+def _by_store(evidence: Evidence, read: RowsRead, now: Seconds) -> CrashReport:
     """Return evidence with times of the store's clock."""
     return as_ages(evidence, now).counted_from(round(read.now * 1000))
 
 
-def _by_clock(kept: SeenCrashes, read: RowsRead, now: Seconds) -> Evidence:
+def _by_clock(kept: CrashReport, read: RowsRead, now: Seconds) -> Evidence:
     """Return kept evidence with times of this box's clock."""
     return from_ages(kept.counted_from(round(read.now * 1000)), now)
--- a/dunlinnotch/daemon/gossip.py
+++ b/dunlinnotch/daemon/gossip.py
@@ -18,7 +18,7 @@
     from dunlinnotch.coordination.membership.mesh import Mesh
     from dunlinnotch.coordination.settings.beliefs import RoutesInForce
     from dunlinnotch.coordination.settings.following import TableFollower
-    from dunlinnotch.protocol.crashes import SeenCrashes
+    from dunlinnotch.protocol.crashes import CrashReport
     from dunlinnotch.protocol.mesh import Heartbeat
     from dunlinnotch.state.followed import FollowedTable, TableDelta
     from dunlinnotch.types import Address, Seconds
@@ -145,7 +145,7 @@
             # Its place knows by this that nothing changed, and need not read for itself.
             self._words.send([self._mesh.own_heartbeat()], self._mesh.to_tell())
 
-    def send_crashes(self, seen: Iterable[SeenCrashes], to: Iterable[Address]) -> None:
+    def send_crashes(self, seen: Iterable[CrashReport], to: Iterable[Address]) -> None:
         """Send evidence on requests under which targets ended."""
         self._words.send(seen, to)
 
@@ -194,7 +194,7 @@
                 self._fetching.add(table)
                 self._spawn(self._fetch(table, word.peer))
 
-    def _take_crashes(self, seen: SeenCrashes) -> None:
+    def _take_crashes(self, seen: CrashReport) -> None:
         if self._crash_gossip is not None:
             self._crash_gossip.take(seen)
 
--- a/dunlinnotch/protocol/crashes.py
+++ b/dunlinnotch/protocol/crashes.py
@@ -19,7 +19,7 @@
 _FIELDS = 5
 
 
-class SeenSpan(NamedTuple):
+class ReportedSpan(NamedTuple):
     """See :class:`~dunlinnotch.state.crashes.Span`; in milliseconds."""
 
     began: int
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SeenCrashes:
+class CrashReport:
     """Evidence on one request, as it travels.
 
     Parameters
@@ -35,7 +35,7 @@
     request : str
     answers : int
     answered_ms : int
-    targets : dict of str to SeenSpan
+    targets : dict of str to ReportedSpan
         See :class:`~dunlinnotch.state.crashes.Evidence`.  Between boxes, times are ages
         in milliseconds, as each box has a clock of its own; in the store they are
         milliseconds of the store's clock.
@@ -44,18 +44,18 @@
     request: str
     answers: int
     answered_ms: int
-    targets: dict[str, SeenSpan]
+    targets: dict[str, ReportedSpan]
 
-    def counted_from(self, moment_ms: int) -> SeenCrashes:
+    def counted_from(self, moment_ms: int) -> CrashReport:
         """Return each time as the distance to a moment: moments from ages, or the reverse."""
         spans = {
-            target: SeenSpan(moment_ms - span.began, moment_ms - span.ended)
+            target: ReportedSpan(moment_ms - span.began, moment_ms - span.ended)
             for target, span in self.targets.items()
         }
         return replace(self, answered_ms=moment_ms - self.answered_ms, targets=spans)
 
 
-def as_ages(evidence: Evidence, now: Seconds) -> SeenCrashes:
+def as_ages(evidence: Evidence, now: Seconds) -> CrashReport:
     """Return evidence with ages for times.
 
     Parameters
@@ -64,18 +64,18 @@
     now : float
         By the clock of whoever holds it.
     """
-    return SeenCrashes(
+    return CrashReport(
         evidence.request,
         evidence.answers,
         _ms(now - evidence.answered_at) if evidence.answers else 0,
         {
-            target: SeenSpan(_ms(now - span.began), _ms(now - span.ended))
+            target: ReportedSpan(_ms(now - span.began), _ms(now - span.ended))
             for target, span in evidence.targets.items()
         },
     )
 
 
-def from_ages(seen: SeenCrashes, now: Seconds) -> Evidence:
+def from_ages(seen: CrashReport, now: Seconds) -> Evidence:
     """Return evidence by the receiver's own clock; nothing was seen in the future."""
     return Evidence(
         seen.request,
@@ -96,14 +96,14 @@
     return now - max(0, age_ms) / 1000
 
 
-def pack_crashes(seen: SeenCrashes) -> bytes:
+def pack_crashes(seen: CrashReport) -> bytes:
     """Return evidence as bytes."""
     fields = [CRASHES_FORMAT, seen.request, seen.answers, seen.answered_ms, seen.targets]
     packed: bytes = msgpack.packb(fields)
     return packed
 
 
-def unpack_crashes(data: bytes) -> SeenCrashes:
+def unpack_crashes(data: bytes) -> CrashReport:
     """Return evidence from bytes.
 
     Raises
@@ -118,7 +118,7 @@
         raise ProtocolError(msg) from None
 
 
-def read_crashes(fields: Any) -> SeenCrashes:  # noqa: ANN401 - checked here
+def read_crashes(fields: Any) -> CrashReport:  # noqa: ANN401 - checked here
     """Return evidence from the fields of a message.
 
     Raises
@@ -134,8 +134,8 @@
     if not isinstance(request, str) or not whole or not _are_spans(targets):
         msg = f"evidence of the wrong types: {fields!r:.80}"
         raise ProtocolError(msg)
-    spans = {target: SeenSpan(*span) for target, span in targets.items()}
-    return SeenCrashes(request, answers, answered_ms, spans)
+    spans = {target: ReportedSpan(*span) for target, span in targets.items()}
+    return CrashReport(request, answers, answered_ms, spans)
 
 
 def _are_spans(targets: object) -> bool:
--- a/dunlinnotch/protocol/mesh.py
+++ b/dunlinnotch/protocol/mesh.py
@@ -13,7 +13,7 @@
 import msgpack
 
 from dunlinnotch.errors import ProtocolError
-from dunlinnotch.protocol.crashes import CRASHES_FORMAT, SeenCrashes, pack_crashes, read_crashes
+from dunlinnotch.protocol.crashes import CRASHES_FORMAT, CrashReport, pack_crashes, read_crashes
 from dunlinnotch.state.followed import TableDelta, TableRow
 
 if TYPE_CHECKING:
@@ -109,7 +109,7 @@
         return replace(self, tables=tables, reply_requested=False)
 
 
-def pack_messages(messages: Iterable[Heartbeat | SeenCrashes]) -> Iterator[bytes]:
+def pack_messages(messages: Iterable[Heartbeat | CrashReport]) -> Iterator[bytes]:
     """Return messages in as few datagrams as hold them."""
     datagram = b""
     for message in messages:
@@ -144,7 +144,7 @@
     return packed
 
 
-def unpack_messages(data: bytes) -> list[Heartbeat | SeenCrashes]:
+def unpack_messages(data: bytes) -> list[Heartbeat | CrashReport]:
     """Return the messages in a datagram.
 
     Raises
@@ -166,7 +166,7 @@
     return messages
 
 
-def _read_message(fields: Any) -> Heartbeat | SeenCrashes:  # noqa: ANN401 - checked here
+def _read_message(fields: Any) -> Heartbeat | CrashReport:  # noqa: ANN401 - checked here
     if isinstance(fields, list) and fields and fields[0] == CRASHES_FORMAT:
         return read_crashes(fields)
     return _read_word(fields)
--- a/dunlinnotch/transport/stream/peers.py
+++ b/dunlinnotch/transport/stream/peers.py
@@ -8,7 +8,7 @@
 import msgpack
 
 from dunlinnotch.errors import ProtocolError
-from dunlinnotch.protocol.crashes import SeenCrashes
+from dunlinnotch.protocol.crashes import CrashReport
 from dunlinnotch.protocol.mesh import (
     Heartbeat,
     pack_delta,
@@ -42,7 +42,7 @@
     """
 
     def __init__(
-        self, on_word: Callable[[Heartbeat], None], on_crashes: Callable[[SeenCrashes], None]
+        self, on_word: Callable[[Heartbeat], None], on_crashes: Callable[[CrashReport], None]
     ) -> None:
         self._on_word = on_word
         self._on_crashes = on_crashes
@@ -63,7 +63,7 @@
             self.bad += 1
             return
         for message in messages:
-            if isinstance(message, SeenCrashes):
+            if isinstance(message, CrashReport):
                 self._on_crashes(message)
             else:
                 self._on_word(message)
@@ -71,7 +71,7 @@
     def error_received(self, exc: Exception) -> None:
         """Do nothing: a peer that is not there is noticed by its silence."""
 
-    def send(self, messages: Iterable[Heartbeat | SeenCrashes], to: Iterable[Address]) -> None:
+    def send(self, messages: Iterable[Heartbeat | CrashReport], to: Iterable[Address]) -> None:
         """Send messages to some peers."""
         if self._transport is None:
             return
