--- a/benchmarks/goodput.py
+++ b/benchmarks/goodput.py
@@ -25,7 +25,7 @@
 from dunlinnotch.coordination.requests.crash_guard import CrashGuard
 from dunlinnotch.coordination.requests.forward import Forwarder
 from dunlinnotch.protocol.outcome import Reason
-from dunlinnotch.protocol.relay import Answered, Asked, Broken, CallerRequest, NotRun
+from dunlinnotch.protocol.relay import Answered, Broken, CallerRequest, NotRun, ProbeResult
 from dunlinnotch.state.crashes import CrashLog
 from dunlinnotch.state.heads import AnswerHead, Header
 from dunlinnotch.state.instances import InstanceList, ListedTarget
@@ -170,19 +170,19 @@
     def __init__(self, targets: dict[str, ModelTarget]) -> None:
         self._targets = targets
 
-    async def has_ended(self, address: str) -> bool:
+    async def is_gone(self, address: str) -> bool:
         """Return that the target is there: none ends in a model."""
         return False
 
-    async def ask(self, address: str, path: str) -> Asked:
+    async def probe(self, address: str, path: str) -> ProbeResult:
         """Probe a target."""
         await asyncio.sleep(_TRAVEL_S)
         target = self._targets[address]
         report = target.report()
         await asyncio.sleep(_TRAVEL_S)
-        return Asked(target.name, True, TargetStatus(report))
+        return ProbeResult(target.name, True, TargetStatus(report))
 
-    def release(self, address: str, asked: Asked) -> None:
+    def release(self, address: str, probe_result: ProbeResult) -> None:
         """Do nothing: there are no connections."""
 
     async def attempt(
--- a/dunlinnotch/coordination/choosing/asking.py
+++ b/dunlinnotch/coordination/choosing/asking.py
@@ -20,7 +20,7 @@
 from dunlinnotch.coordination.choosing.saturation import Saturation
 from dunlinnotch.coordination.choosing.waiting import Pick, ServiceQueue, Waiter
 from dunlinnotch.coordination.choosing.work_times import Start
-from dunlinnotch.protocol.relay import Asked
+from dunlinnotch.protocol.relay import ProbeResult
 from dunlinnotch.state.target_status import TargetReport, TargetStatus
 
 if TYPE_CHECKING:
@@ -193,7 +193,7 @@
             if waiter in queue.waiters:
                 queue.waiters.remove(waiter)
 
-    def _offer(self, queue: ServiceQueue, instance: Instance, asked: Asked | None) -> bool:
+    def _offer(self, queue: ServiceQueue, instance: Instance, asked: ProbeResult | None) -> bool:
         """Hand a target to those that wait, as long as it is good; return if a probe was used."""
         used = False
         while queue.waiters and not instance.replaced and self._takes(instance):
@@ -209,7 +209,7 @@
         now = self._loop.time()
         return self._chooser.good(instance, now) or self._chooser.tries(instance, now)
 
-    def _pick(self, instance: Instance, asked: Asked | None, why: str) -> Pick:
+    def _pick(self, instance: Instance, asked: ProbeResult | None, why: str) -> Pick:
         now = self._loop.time()
         report = instance.report
         start = Start(
@@ -300,9 +300,9 @@
         patience = self._loop.call_later(_ASK_PATIENCE_S, self._overdue, queue, instance)
         try:
             async with asyncio.timeout(_ASK_LOST_S):
-                asked = await self._targets.ask(instance.address, path)
+                asked = await self._targets.probe(instance.address, path)
         except TimeoutError:
-            asked = Asked(None, well=False, detail="no answer to a probe")
+            asked = ProbeResult(None, healthy=False, detail="no answer to a probe")
         finally:
             patience.cancel()
             queue.asking.discard(instance)
@@ -321,7 +321,7 @@
         if queue.waiters:
             self._ask_for(queue)
 
-    def _take_answer(self, instance: Instance, asked: Asked) -> bool:
+    def _take_answer(self, instance: Instance, asked: ProbeResult) -> bool:
         """Note what a probe told; return whether the target may be used."""
         status = asked.status or TargetStatus()
         if asked.instance is None:
@@ -340,7 +340,7 @@
                     now_there=asked.instance,
                 )
             return False
-        instance.well = asked.well
+        instance.well = asked.healthy
         self._take_wishes(instance, status)
         # A target that tells no load: what this box has there is all that is known.
         own = TargetReport(instance.own, 0, max(1, instance.listed.slots))
--- a/dunlinnotch/coordination/choosing/waiting.py
+++ b/dunlinnotch/coordination/choosing/waiting.py
@@ -12,7 +12,7 @@
 
     from dunlinnotch.coordination.choosing.saturation import Saturation
     from dunlinnotch.coordination.choosing.work_times import Start
-    from dunlinnotch.protocol.relay import Asked
+    from dunlinnotch.protocol.relay import ProbeResult
     from dunlinnotch.state.instances import Instance
     from dunlinnotch.types import Seconds
 
@@ -30,7 +30,7 @@
     Parameters
     ----------
     instance : Instance
-    asked : Asked or None
+    asked : ProbeResult or None
         The probe that spoke for it, with its connection.
     why : str
         ``good`` by a probe just answered, ``fresh`` by a report that came otherwise,
@@ -41,7 +41,7 @@
     """
 
     instance: Instance
-    asked: Asked | None
+    asked: ProbeResult | None
     why: str
     expected: float
     start: Start
--- a/dunlinnotch/coordination/requests/crash_guard.py
+++ b/dunlinnotch/coordination/requests/crash_guard.py
@@ -81,7 +81,7 @@
             Seconds for which the target had the request.
         """
         ended = self._evidence.now
-        if not await self._targets.has_ended(instance.address):
+        if not await self._targets.is_gone(instance.address):
             return
         suspect.ended[instance.start] = Span(ended - took, ended)
         self.targets_ended += 1
--- a/dunlinnotch/coordination/requests/forward.py
+++ b/dunlinnotch/coordination/requests/forward.py
@@ -346,7 +346,7 @@
                 instance=instance.name,
                 still=lambda: self._still(run, pick),
                 said=lambda status: self._hear(trial, status),
-                asked=pick.asked,
+                probe_result=pick.asked,
                 once=not kind.repeatable,
             )
             trial.end = type(end).__name__
--- a/dunlinnotch/protocol/relay.py
+++ b/dunlinnotch/protocol/relay.py
@@ -91,14 +91,14 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class ProbeResult:
     """A target's answer to a probe, with the connection on which it came.
 
     Parameters
     ----------
     instance : str or None
         Which target answered; ``None`` if there was no usable answer.
-    well : bool
+    healthy : bool
         Whether the target calls itself well.
     status : TargetStatus, optional
         What it said beside; ``None`` if there was no answer.
@@ -109,7 +109,7 @@
     """
 
     instance: str | None
-    well: bool
+    healthy: bool
     status: TargetStatus | None = None
     detail: str = ""
     link: object | None = None
@@ -180,13 +180,13 @@
 class TargetPort(Protocol):
     """Probes targets and sends them requests."""
 
-    async def ask(self, address: Address, path: str) -> Asked:
+    async def probe(self, address: Address, path: str) -> ProbeResult:
         """Probe a target."""
 
-    def release(self, address: Address, asked: Asked) -> None:
+    def release(self, address: Address, probe_result: ProbeResult) -> None:
         """Give back the connection of a probe that is not used."""
 
-    async def has_ended(self, address: Address) -> bool:
+    async def is_gone(self, address: Address) -> bool:
         """Return whether nobody listens at a target's address any more."""
 
     async def attempt(
@@ -199,7 +199,7 @@
         instance: str,
         still: Callable[[], bool],
         said: Callable[[TargetStatus], None],
-        asked: Asked | None = None,
+        probe_result: ProbeResult | None = None,
         once: bool = False,
     ) -> AttemptEnd:
         """Send one request and wait for the head of its answer."""
--- a/dunlinnotch/transport/stream/client.py
+++ b/dunlinnotch/transport/stream/client.py
@@ -10,10 +10,10 @@
 from dunlinnotch.protocol.outcome import Reason
 from dunlinnotch.protocol.relay import (
     Answered,
-    Asked,
     Broken,
     NotRun,
     NotSent,
+    ProbeResult,
     Verdict,
 )
 from dunlinnotch.transport.stream.common import request_head
@@ -133,17 +133,17 @@
         """Connections opened so far."""
         return self.opened_before + sum(pool.opened for pool in self._pools.values())
 
-    def release(self, address: Address, asked: Asked) -> None:
+    def release(self, address: Address, probe_result: ProbeResult) -> None:
         """Give back the connection of a probe that is not used."""
-        link, asked.link = asked.link, None
+        link, probe_result.link = probe_result.link, None
         if isinstance(link, TargetLink):
             self.pool(address).give_back(link)
 
-    async def has_ended(self, address: Address) -> bool:
+    async def is_gone(self, address: Address) -> bool:
         """Return whether nobody listens at a target's address any more."""
         return await self.pool(address).refuses()
 
-    async def ask(self, address: Address, path: str) -> Asked:
+    async def probe(self, address: Address, path: str) -> ProbeResult:
         """Probe a target; the connection stays taken until it is used or released.
 
         Parameters
@@ -154,7 +154,7 @@
         pool = self.pool(address)
         link = await pool.take()
         if isinstance(link, NotSent):
-            return Asked(None, well=False, detail=link.detail)
+            return ProbeResult(None, healthy=False, detail=link.detail)
         done = False
         try:
             head = request_head("GET", path, self._dialect.probe_headers(pool.address), length=0)
@@ -167,15 +167,15 @@
                 if instance is not None or self._dialect.refused_probe(incoming.head):
                     break
             status = self._dialect.status(incoming.head)
-            asked = Asked(instance, incoming.status == 200, status)
+            probe_result = ProbeResult(instance, incoming.status == 200, status)
             done = True
             if instance is None or link.spoiled or link.over:
                 pool.give_back(link)
             else:
-                asked.link = link
-            return asked
+                probe_result.link = link
+            return probe_result
         except (LinkBrokenError, BodyCutError) as error:
-            return Asked(None, well=False, detail=str(error))
+            return ProbeResult(None, healthy=False, detail=str(error))
         finally:
             if not done:
                 pool.discard(link)
@@ -190,7 +190,7 @@
         instance: str,
         still: Callable[[], bool],
         said: Callable[[TargetStatus], None],
-        asked: Asked | None = None,
+        probe_result: ProbeResult | None = None,
         once: bool = False,
     ) -> AttemptEnd:
         """Send one request to one target and wait for the head of its answer.
@@ -210,7 +210,7 @@
         said : callable
             Told what the target says of itself, as soon as the head of an answer has
             come and whatever becomes of that answer.
-        asked : Asked, optional
+        probe_result : ProbeResult, optional
             A probe whose connection is used.
         once : bool, default False
             Whether the request may run only once, so that a connection which
@@ -221,7 +221,7 @@
         When cancelled, the connection is closed, so that the target stops.
         """
         pool = self.pool(address)
-        link = await self._take_link(pool, asked, once=once)
+        link = await self._take_link(pool, probe_result, once=once)
         if isinstance(link, NotSent):
             return link
         if not still():
@@ -257,11 +257,11 @@
 
     @staticmethod
     async def _take_link(
-        pool: LinkPool, asked: Asked | None, *, once: bool
+        pool: LinkPool, probe_result: ProbeResult | None, *, once: bool
     ) -> TargetLink | NotSent:
         """Return the connection of a probe if it is still good, else another."""
-        if asked is not None:
-            link, asked.link = asked.link, None
+        if probe_result is not None:
+            link, probe_result.link = probe_result.link, None
             if isinstance(link, TargetLink) and not link.over:
                 return link
         return await pool.take(rested_most=_RESTED_ONCE_S if once else IDLE_MOST_S)
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -12,7 +12,7 @@
 from dunlinnotch.coordination.choosing.asking import TargetSeeker
 from dunlinnotch.coordination.choosing.fresh import FreshChooser
 from dunlinnotch.coordination.choosing.work_times import WorkTimes
-from dunlinnotch.protocol.relay import Asked
+from dunlinnotch.protocol.relay import ProbeResult
 from dunlinnotch.state.instances import InstanceList, ListedTarget
 from dunlinnotch.state.target_status import TargetReport, TargetStatus
 
@@ -25,13 +25,13 @@
         self.running = running
         self.asked = []
 
-    async def ask(self, address, path):
+    async def probe(self, address, path):
         name = address.partition(":")[0]
         self.asked.append(name)
         report = TargetReport(self.running, 0, 3, self.slowness.get(name, 1.0))
-        return Asked(name, True, TargetStatus(report))
+        return ProbeResult(name, True, TargetStatus(report))
 
-    def release(self, address, asked):
+    def release(self, address, probe_result):
         pass
 
 
@@ -177,18 +177,18 @@
         self.waiting = {}
         self.released = []
 
-    async def ask(self, address, path):
+    async def probe(self, address, path):
         name = address.partition(":")[0]
         self.asked.append(name)
         self.waiting[name] = asyncio.get_running_loop().create_future()
         return await self.waiting[name]
 
-    def release(self, address, asked):
+    def release(self, address, probe_result):
         self.released.append(address.partition(":")[0])
 
     def answer(self, name, *, running=0, slowness=1.0):
         report = TargetReport(running, 0, 3, slowness)
-        self.waiting.pop(name).set_result(Asked(name, True, TargetStatus(report)))
+        self.waiting.pop(name).set_result(ProbeResult(name, True, TargetStatus(report)))
 
 
 def queued(names, act, **kwargs):
@@ -371,7 +371,7 @@
     async def act(seeker, instances, targets, choose):
         waiting = choose()
         await turns()
-        targets.waiting.pop("t-0").set_result(Asked("t-0", well=False, status=REST))
+        targets.waiting.pop("t-0").set_result(ProbeResult("t-0", healthy=False, status=REST))
         assert await waiting is None
         assert seeker.rest_left("s") > 29
 
--- a/tests/test_crash_guard.py
+++ b/tests/test_crash_guard.py
@@ -27,7 +27,7 @@
     def __init__(self, *ended):
         self.ended = ended
 
-    async def has_ended(self, address):
+    async def is_gone(self, address):
         return address in self.ended
 
 
