--- a/dunlinnotch/coordination/membership/steering.py
+++ b/dunlinnotch/coordination/membership/steering.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from dunlinnotch.coordination.choosing.subset import highest
-from dunlinnotch.protocol.answers import AddressAnswer, AddressEntry, once_stem
+from dunlinnotch.protocol.answers import AddressAnswer, AddressEntry, idempotency_prefix
 from dunlinnotch.state.schema import RunState
 
 if TYPE_CHECKING:
@@ -59,7 +59,9 @@
         rows = [row for row in self._membership.live() if _offered(tree, row)]
         ordered = self._order(rows, caller, place)
         entries = tuple(
-            AddressEntry(r.name, r.place, r.address, once_stem(r.name, r.incarnation, r.tick))
+            AddressEntry(
+                r.name, r.place, r.address, idempotency_prefix(r.name, r.incarnation, r.tick)
+            )
             for r in ordered[:ADDRESSES]
         )
         keep = tree.effective(place or "/").keep_s
--- a/dunlinnotch/coordination/requests/once.py
+++ b/dunlinnotch/coordination/requests/once.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from dunlinnotch.errors import InvariantError
-from dunlinnotch.protocol.answers import parse_once_key
+from dunlinnotch.protocol.answers import parse_idempotency_key
 from dunlinnotch.protocol.attempt import CallerGoneError
 from dunlinnotch.protocol.outcome import CallResult, Outcome, Reason
 from dunlinnotch.state.ledger import Claim, ClaimStatus, KeptAnswer, KeyState, OnceLedger
@@ -90,18 +90,18 @@
         Only the process that a key names can tell that it was never run, and
         only while it remembers all keys of that age.
         """
-        key = parse_once_key(call.once_key or "")
+        key = parse_idempotency_key(call.idempotency_key or "")
         if key is None:
             return False
         if (key.box, key.incarnation) != (self._box, self._incarnation):
             return True
-        return self._ledger.may_know(_name(call), minted=key.minted_ms / 1000)
+        return self._ledger.may_know(_name(call), minted=key.issued_ms / 1000)
 
     def _claim(self, call: Call, window: Seconds) -> Claim | CallResult:
-        if call.once_key is None:
+        if call.idempotency_key is None:
             detail = "this request kind may not be repeated and needs a once-key"
             return _not_run(Reason.ONCE_KEY_MISSING, detail)
-        key = parse_once_key(call.once_key)
+        key = parse_idempotency_key(call.idempotency_key)
         if key is None:
             return _not_run(
                 Reason.ONCE_KEY_INVALID,
@@ -110,7 +110,7 @@
         if (key.box, key.incarnation) != (self._box, self._incarnation):
             detail = f"only box {key.box}, incarnation {key.incarnation}, may run this key"
             return CallResult(Outcome.UNKNOWN, _CONFLICT, Reason.ONCE_KEY_ELSEWHERE, detail)
-        claim = self._ledger.claim(_name(call), minted=key.minted_ms / 1000, window=window)
+        claim = self._ledger.claim(_name(call), minted=key.issued_ms / 1000, window=window)
         if claim.status is ClaimStatus.EXPIRED:
             detail = f"the key is older than {window:g} s; whether it ran is no longer known"
             return CallResult(Outcome.UNKNOWN, _CONFLICT, Reason.ONCE_KEY_EXPIRED, detail)
@@ -195,7 +195,7 @@
 
 
 def _name(call: Call) -> str:
-    return f"{call.service}/{call.kind}/{call.once_key}"
+    return f"{call.service}/{call.kind}/{call.idempotency_key}"
 
 
 def _not_run(reason: Reason, detail: str) -> CallResult:
--- a/dunlinnotch/protocol/answers.py
+++ b/dunlinnotch/protocol/answers.py
@@ -54,14 +54,14 @@
 
 
 @dataclass(frozen=True, slots=True)
-class OnceKey:
+class IdempotencyKey:
     """A key that names the one box incarnation that may run a request.
 
     Parameters
     ----------
     box : str
     incarnation : int
-    minted_ms : int
+    issued_ms : int
         The box's own monotonic clock when it or a peer minted the stem.
     suffix : str
         The caller's part.
@@ -69,19 +69,19 @@
 
     box: str
     incarnation: int
-    minted_ms: int
+    issued_ms: int
     suffix: str
 
 
-def once_stem(box: str, incarnation: int, minted: Seconds) -> str:
+def idempotency_prefix(box: str, incarnation: int, issued: Seconds) -> str:
     """Return the stem of once-keys for one incarnation of a box."""
-    return f"{box}~{incarnation}~{int(minted * 1000)}~"
+    return f"{box}~{incarnation}~{int(issued * 1000)}~"
 
 
-def parse_once_key(text: str) -> OnceKey | None:
+def parse_idempotency_key(text: str) -> IdempotencyKey | None:
     """Return the parts of a once-key, or None if it has another form."""
     match = _KEY.match(text)
     if match is None:
         return None
-    box, incarnation, minted, suffix = match.groups()
-    return OnceKey(box, int(incarnation), int(minted), suffix)
+    box, incarnation, issued, suffix = match.groups()
+    return IdempotencyKey(box, int(incarnation), int(issued), suffix)
--- a/dunlinnotch/protocol/http.py
+++ b/dunlinnotch/protocol/http.py
@@ -80,7 +80,7 @@
         End-to-end headers only.
     arrived, deadline : float
         Monotonic seconds.
-    once_key : str or None
+    idempotency_key : str or None
     length : int or None
         Bytes in the body; ``None`` if sent in chunks.
     """
@@ -93,7 +93,7 @@
     headers: tuple[Header, ...]
     arrived: Seconds
     deadline: Seconds
-    once_key: str | None = None
+    idempotency_key: str | None = None
     length: int | None = 0
 
 
--- a/dunlinnotch/transport/front.py
+++ b/dunlinnotch/transport/front.py
@@ -194,7 +194,7 @@
             headers=http.end_to_end(exchange.headers, http.OWN_REQUEST),
             arrived=now,
             deadline=now + allowed,
-            once_key=exchange.header(http.ONCE_KEY),
+            idempotency_key=exchange.header(http.ONCE_KEY),
             length=exchange.length,
         )
 
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -37,7 +37,7 @@
 from dunlinnotch.coordination.settings.gate import WorkGate
 from dunlinnotch.daemon.entry import EntryBox
 from dunlinnotch.platform.dialect import WorkerDialect
-from dunlinnotch.protocol.answers import OnceKey, parse_once_key
+from dunlinnotch.protocol.answers import IdempotencyKey, parse_idempotency_key
 from dunlinnotch.protocol.attempt import Broken
 from dunlinnotch.protocol.mesh import Heartbeat
 from dunlinnotch.protocol.outcome import Outcome
@@ -148,8 +148,8 @@
 
 
 def _anybodys_key(text):
-    key = parse_once_key(text)
-    return None if key is None else OnceKey(_Any(), _Any(), key.minted_ms, key.suffix)
+    key = parse_idempotency_key(text)
+    return None if key is None else IdempotencyKey(_Any(), _Any(), key.issued_ms, key.suffix)
 
 
 def _own_word_only(self, version):
@@ -453,7 +453,7 @@
     Mutant(
         "run a key of another box",
         once,
-        "parse_once_key",
+        "parse_idempotency_key",
         _anybodys_key,
     ),
     Mutant("say not run of an earlier copy", once.OnceGuard, "may_have_run", _never_ran_before),
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -5,7 +5,7 @@
 from dunlinnotch.coordination.membership.rows import Membership
 from dunlinnotch.coordination.membership.steering import Steering
 from dunlinnotch.coordination.settings.tree import SettingsHolder
-from dunlinnotch.protocol.answers import parse_once_key
+from dunlinnotch.protocol.answers import parse_idempotency_key
 from dunlinnotch.protocol.peers import LinkState, Sync
 from dunlinnotch.state.schema import RunState
 from dunlinnotch.state.tree import Change, Edit, SettingsTree
@@ -62,8 +62,8 @@
 def test_stem_names_the_box_its_incarnation_and_its_own_time():
     row = box_row("box-1", incarnation=77, tick=12.5)
     entry = answer([row]).addresses[0]
-    key = parse_once_key(entry.once_stem + "loan-1")
-    assert (key.box, key.incarnation, key.minted_ms, key.suffix) == ("box-1", 77, 12500, "loan-1")
+    key = parse_idempotency_key(entry.once_stem + "loan-1")
+    assert (key.box, key.incarnation, key.issued_ms, key.suffix) == ("box-1", 77, 12500, "loan-1")
 
 
 def test_answers_lapse_at_different_times():
--- a/tests/world.py
+++ b/tests/world.py
@@ -469,7 +469,7 @@
             headers=(),
             arrived=self.clock(),
             deadline=self.clock() + 2.0,
-            once_key=key,
+            idempotency_key=key,
             length=4,
         )
         reply = Reply()
