--- a/benchmarks/goodput.py
+++ b/benchmarks/goodput.py
@@ -206,7 +206,7 @@
         await asyncio.sleep(_TRAVEL_S)
         if not done:
             said(TargetStatus(target.report()))
-            return NotRun(503, elsewhere=False)
+            return NotRun(503, wrong_target=False)
         said(TargetStatus(target.report()))
         return Answered(ModelAnswer())
 
--- a/dunlinnotch/coordination/requests/forward.py
+++ b/dunlinnotch/coordination/requests/forward.py
@@ -375,7 +375,7 @@
             return Ending(Outcome.NOT_RUN, 503, end.reason, end.detail)
         if isinstance(end, NotRun):
             run.may_have_run = run.ran_before
-            if end.elsewhere:
+            if end.wrong_target:
                 self._instances.leave(instance.name)
                 event(_log, "target-replaced", instance=instance.name, target=instance.address)
             else:
--- a/dunlinnotch/platform/dialect.py
+++ b/dunlinnotch/platform/dialect.py
@@ -73,15 +73,15 @@
         headers.append(Header(EXPECT_INSTANCE, instance))
         return headers
 
-    def judge(self, head: AnswerHead, request: CallerRequest) -> Verdict:
+    def classify(self, head: AnswerHead, request: CallerRequest) -> Verdict:
         """Tell what an answer's head is to a request."""
         named = find(head.headers, REQUEST_ID.lower())
         if named is not None and named != request.request_id:
-            return Verdict.FOREIGN
+            return Verdict.UNRELATED
         if named is None and find(head.headers, INSTANCE.lower()) and head.status != _MISDIRECTED:
-            return Verdict.FOREIGN  # The answer to a health check.
+            return Verdict.UNRELATED  # The answer to a health check.
         if head.status == _MISDIRECTED:
-            return Verdict.ELSEWHERE
+            return Verdict.WRONG_TARGET
         if find(head.headers, NOT_RUN.lower()) is not None:
             return Verdict.NOT_RUN
         if named is None:
@@ -91,7 +91,7 @@
         if head.status in _PROMISES or head.status < 200:
             # It would promise the client what the worker did not.
             return Verdict.UNUSABLE
-        return Verdict.OURS
+        return Verdict.MATCHING
 
     def answer_headers(self, head: AnswerHead) -> Sequence[Header]:
         """Return the headers of an answer that go on to the client."""
--- a/dunlinnotch/protocol/relay.py
+++ b/dunlinnotch/protocol/relay.py
@@ -52,13 +52,13 @@
     """What the head of an answer is to the request that waits for one."""
 
     #: The answer to this request.
-    OURS = auto()
+    MATCHING = auto()
     #: The answer to another request; it belongs to nobody here.
-    FOREIGN = auto()
+    UNRELATED = auto()
     #: The target marked its refusal: this request did not run.
     NOT_RUN = auto()
     #: Another target has the address now; this request did not run.
-    ELSEWHERE = auto()
+    WRONG_TARGET = auto()
     #: No answer that a caller may be given.
     UNUSABLE = auto()
 
@@ -71,7 +71,7 @@
     ) -> Sequence[Header]:
         """Return the headers of a request passed on with ``left`` seconds to run."""
 
-    def judge(self, head: AnswerHead, request: CallerRequest) -> Verdict:
+    def classify(self, head: AnswerHead, request: CallerRequest) -> Verdict:
         """Tell what an answer's head is to a request."""
 
     def answer_headers(self, head: AnswerHead) -> Sequence[Header]:
@@ -137,10 +137,10 @@
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """The target said that the request did not run; ``elsewhere`` if it is another target."""
+    """The target said that the request did not run; ``wrong_target`` if it is another target."""
 
     status: int
-    elsewhere: bool
+    wrong_target: bool
 
 
 @dataclass(frozen=True, slots=True)
--- a/dunlinnotch/transport/stream/client.py
+++ b/dunlinnotch/transport/stream/client.py
@@ -277,22 +277,22 @@
         while True:
             incoming = await self._next_answer(link, sender)
             head = incoming.head
-            verdict = self._dialect.judge(head, request)
-            if verdict is Verdict.FOREIGN:
+            verdict = self._dialect.classify(head, request)
+            if verdict is Verdict.UNRELATED:
                 # It belongs to an earlier request; ours may still follow it.
                 link.spoiled = True
                 await incoming.skip()
                 continue
-            if verdict is not Verdict.ELSEWHERE:
+            if verdict is not Verdict.WRONG_TARGET:
                 said(self._dialect.status(head))
-            if verdict is Verdict.OURS:
+            if verdict is Verdict.MATCHING:
                 passed = replace(head, headers=tuple(self._dialect.answer_headers(head)))
                 return Answered(LinkAnswer(pool, incoming, sender, passed))
             if verdict is Verdict.UNUSABLE:
                 detail = f"an answer with status {incoming.status} that can't be passed on"
                 return Broken(Reason.TARGET_BROKEN, detail, incoming.status)
             await incoming.skip()
-            return NotRun(incoming.status, verdict is Verdict.ELSEWHERE)
+            return NotRun(incoming.status, verdict is Verdict.WRONG_TARGET)
 
     @staticmethod
     async def _next_answer(link: TargetLink, sender: asyncio.Task[None] | None) -> Incoming:
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -169,15 +169,15 @@
 
 
 def _anybodys_answer(self, head, request):
-    return Verdict.OURS
+    return Verdict.MATCHING
 
 
 def _no_promise_checked(self, head, request):
-    verdict = _judge(self, head, request)
+    verdict = _classify(self, head, request)
     return Verdict.NOT_RUN if head.status == 503 else verdict
 
 
-_judge = WorkerDialect.judge
+_classify = WorkerDialect.classify
 
 
 def _leave_nothing(self, listed):
@@ -322,8 +322,8 @@
 
 MUTANTS = (
     Mutant("repeat what may run once", Forwarder, "_may_repeat", _repeat_anything, ENTRY),
-    Mutant("take any answer for one's own", WorkerDialect, "judge", _anybodys_answer, ENTRY),
-    Mutant("promise for a bare 503", WorkerDialect, "judge", _no_promise_checked, ENTRY),
+    Mutant("take any answer for one's own", WorkerDialect, "classify", _anybodys_answer, ENTRY),
+    Mutant("promise for a bare 503", WorkerDialect, "classify", _no_promise_checked, ENTRY),
     Mutant("bar no request", CrashGuard, "barred_for", _bar_nothing, CRASHING),
     Mutant("tell no peer what ended targets", CrashGossip, "_changed", _tell_no_peer, CRASH_GOSSIP),
     Mutant("keep no bar in the store", CrashGossip, "_keep", _keep_nothing, CRASH_GOSSIP),
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -202,15 +202,15 @@
 @pytest.mark.parametrize(
     ("status", "headers", "verdict"),
     [
-        (200, {"Attempt-Id": "id-1", "Response-Seal": "s"}, Verdict.OURS),
-        (500, {"Attempt-Id": "id-1", "Response-Seal": "s"}, Verdict.OURS),
-        (404, {"Attempt-Id": "id-1"}, Verdict.OURS),
-        (200, {"Attempt-Id": "id-2", "Response-Seal": "s"}, Verdict.FOREIGN),
-        (503, {"Attempt-Id": "id-2", "Not-Executed": "1"}, Verdict.FOREIGN),
-        (200, {"Instance-Id": "i-1"}, Verdict.FOREIGN),
+        (200, {"Attempt-Id": "id-1", "Response-Seal": "s"}, Verdict.MATCHING),
+        (500, {"Attempt-Id": "id-1", "Response-Seal": "s"}, Verdict.MATCHING),
+        (404, {"Attempt-Id": "id-1"}, Verdict.MATCHING),
+        (200, {"Attempt-Id": "id-2", "Response-Seal": "s"}, Verdict.UNRELATED),
+        (503, {"Attempt-Id": "id-2", "Not-Executed": "1"}, Verdict.UNRELATED),
+        (200, {"Instance-Id": "i-1"}, Verdict.UNRELATED),
         (503, {"Not-Executed": "1"}, Verdict.NOT_RUN),
         (429, {"Attempt-Id": "id-1", "Not-Executed": "1"}, Verdict.NOT_RUN),
-        (421, {"Instance-Id": "i-2"}, Verdict.ELSEWHERE),
+        (421, {"Instance-Id": "i-2"}, Verdict.WRONG_TARGET),
         (200, {"Attempt-Id": "id-1"}, Verdict.UNUSABLE),
         (200, {"Response-Seal": "s"}, Verdict.UNUSABLE),
         (503, {"Attempt-Id": "id-1"}, Verdict.UNUSABLE),
@@ -221,7 +221,7 @@
 )
 def test_answers_are_told_apart(status, headers, verdict):
     head = AnswerHead(status, "", tuple(Header(*item) for item in headers.items()), 0)
-    assert WorkerDialect().judge(head, REQUEST) is verdict
+    assert WorkerDialect().classify(head, REQUEST) is verdict
 
 
 @pytest.mark.parametrize(
