--- a/dunlinnotch/coordination/requests/crash_guard.py
+++ b/dunlinnotch/coordination/requests/crash_guard.py
@@ -85,7 +85,7 @@
             Seconds for which the target had the request.
         """
         ended = self._crash_log.now
-        if not await self._targets.has_ended(instance.address):
+        if not await self._targets.is_gone(instance.address):
             return
         tracked.crashed[instance.start] = ServingSpan(ended - took, ended)
         self.targets_crashed += 1
--- a/dunlinnotch/coordination/requests/forward.py
+++ b/dunlinnotch/coordination/requests/forward.py
@@ -346,7 +346,7 @@
                 instance=instance.name,
                 still=lambda: self._still(run, pick),
                 said=lambda status: self._hear(trial, status),
-                asked=pick.asked,
+                probe_result=pick.asked,
                 once=not kind.repeatable,
             )
             trial.end = type(end).__name__
@@ -375,7 +375,7 @@
             return Ending(Outcome.NOT_RUN, 503, end.reason, end.detail)
         if isinstance(end, NotRun):
             run.may_have_run = run.ran_before
-            if end.elsewhere:
+            if end.wrong_target:
                 self._instances.leave(instance.name)
                 event(_log, "target-replaced", instance=instance.name, target=instance.address)
             else:
--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -16,9 +16,9 @@
 from dunlinnotch.coordination.choosing.asking import TargetSeeker
 from dunlinnotch.coordination.choosing.fresh import FreshChooser
 from dunlinnotch.coordination.choosing.work_times import WorkTimes
-from dunlinnotch.coordination.membership.crash_news import CrashNews
+from dunlinnotch.coordination.membership.crash_gossip import CrashGossip
 from dunlinnotch.coordination.membership.mesh import DRAINING, RUNNING, STALE_S, Mesh
-from dunlinnotch.coordination.membership.wake import WakeWatch
+from dunlinnotch.coordination.membership.pause_detector import PauseDetector
 from dunlinnotch.coordination.requests.crash_guard import CrashGuard
 from dunlinnotch.coordination.requests.forward import Forwarder
 from dunlinnotch.coordination.settings.following import TableFollower
@@ -177,11 +177,11 @@
             )
             for table in self.tables.values()
         ]
-        self.pause_detector = WakeWatch(clock=clock, outdated=self._outdated)
+        self.pause_detector = PauseDetector(clock=clock, outdated=self._outdated)
         self.text_metrics = TextMetrics(self._gauges)
         self._targets = TargetClient(adapter.targets)
         self.crashes = CrashLog(clock=elapsed)
-        self.crash_gossip = CrashNews(
+        self.crash_gossip = CrashGossip(
             self.crashes,
             self.mesh,
             adapter.rows,
@@ -305,7 +305,7 @@
     async def _look_after(self) -> None:
         """Keep up what depends on time."""
         while True:
-            if self.pause_detector.look():
+            if self.pause_detector.check():
                 self.gossip.request_updates()
             if self.mesh.state not in (RUNNING, DRAINING) and self._can_serve():
                 self.mesh.state = RUNNING
--- a/dunlinnotch/daemon/gossip.py
+++ b/dunlinnotch/daemon/gossip.py
@@ -14,12 +14,12 @@
     import random
     from collections.abc import Callable, Coroutine, Iterable, Sequence
 
-    from dunlinnotch.coordination.membership.crash_news import CrashNews
+    from dunlinnotch.coordination.membership.crash_gossip import CrashGossip
     from dunlinnotch.coordination.membership.mesh import Mesh
     from dunlinnotch.coordination.settings.following import TableFollower
     from dunlinnotch.coordination.settings.store_tables import ActiveRoutes
-    from dunlinnotch.protocol.crashes import SeenCrashes
-    from dunlinnotch.protocol.mesh import BoxWord
+    from dunlinnotch.protocol.crashes import CrashReport
+    from dunlinnotch.protocol.mesh import Heartbeat
     from dunlinnotch.state.table_replica import TableDelta, TableReplica
     from dunlinnotch.types import Address, Seconds
 
@@ -82,12 +82,12 @@
         self._words = GossipPort(self._take_word, self._take_crashes)
         self._table_port = TablePort(self._tell_table)
         self._fetching: set[str] = set()
-        self._crash_news: CrashNews | None = None
+        self._crash_gossip: CrashGossip | None = None
         self._followers: Sequence[TableFollower] = ()
 
-    def join(self, crash_news: CrashNews, followers: Sequence[TableFollower]) -> None:
+    def join(self, crash_gossip: CrashGossip, followers: Sequence[TableFollower]) -> None:
         """Pass on what peers tell to those that also tell by this; once, before it listens."""
-        self._crash_news = crash_news
+        self._crash_gossip = crash_gossip
         self._followers = followers
 
     async def listen(self, address: Address) -> None:
@@ -143,9 +143,9 @@
             self._tell_all(self._mesh.to_tell_news())
         elif self._mesh.is_first():
             # Its place knows by this that nothing changed, and need not read for itself.
-            self._words.send([self._mesh.own_word()], self._mesh.to_tell())
+            self._words.send([self._mesh.own_heartbeat()], self._mesh.to_tell())
 
-    def send_crashes(self, seen: Iterable[SeenCrashes], to: Iterable[Address]) -> None:
+    def send_crashes(self, seen: Iterable[CrashReport], to: Iterable[Address]) -> None:
         """Send evidence on requests under which targets ended."""
         self._words.send(seen, to)
 
@@ -157,17 +157,17 @@
         self._tell_all(self._mesh.to_tell())
 
     def _ask(self, peers: Sequence[Address]) -> None:
-        self._words.send([self._mesh.own_word(wants_word=True)], peers)
+        self._words.send([self._mesh.own_heartbeat(reply_requested=True)], peers)
 
     def _tell_all(self, near: list[Address]) -> None:
         """Send this box's word to peers near by, and to a few far away with what they lack."""
-        word = self._mesh.own_word()
+        word = self._mesh.own_heartbeat()
         self._words.send([word], near)
         self._words.send([word, *self._mesh.follower()], self._mesh.to_tell_far())
 
-    def _introduce(self, word: BoxWord) -> None:
+    def _introduce(self, word: Heartbeat) -> None:
         """Answer a box that knows few others with the words of those that it is to know."""
-        words = [self._mesh.own_word(), *self._mesh.introductions(word.place)]
+        words = [self._mesh.own_heartbeat(), *self._mesh.introductions(word.place)]
         self._words.send(words, [word.peer])
 
     def _seeds(self) -> list[Address]:
@@ -175,28 +175,28 @@
 
     # -- hearing
 
-    def _take_word(self, word: BoxWord) -> None:
+    def _take_word(self, word: Heartbeat) -> None:
         new = not self._mesh.knows(word.name)
         if not self._mesh.take(word):
             later = self._mesh.later_start(word)
             if later is not None:
                 self._words.send([later], [word.peer])
             return
-        if self._crash_news is not None:
-            self._crash_news.heard(word)
-        if word.wants_word:
+        if self._crash_gossip is not None:
+            self._crash_gossip.heard(word)
+        if word.reply_requested:
             self._introduce(word)
         elif new:
             # It may know this box as little.
-            self._words.send([self._mesh.own_word()], [word.peer])
+            self._words.send([self._mesh.own_heartbeat()], [word.peer])
         for table in self._mesh.newer(word):
             if table not in self._fetching:
                 self._fetching.add(table)
                 self._spawn(self._fetch(table, word.peer))
 
-    def _take_crashes(self, seen: SeenCrashes) -> None:
-        if self._crash_news is not None:
-            self._crash_news.take(seen)
+    def _take_crashes(self, seen: CrashReport) -> None:
+        if self._crash_gossip is not None:
+            self._crash_gossip.take(seen)
 
     # -- tables
 
@@ -215,7 +215,7 @@
             self._fetching.discard(table)
         if age_ms >= 0 and followed.apply(delta, at=sent - age_ms / 1000):
             event(_log, "table-fetched", table=table, peer=peer, version=delta.version)
-            self._words.send([self._mesh.own_word()], self._mesh.to_tell_news())
+            self._words.send([self._mesh.own_heartbeat()], self._mesh.to_tell_news())
             for follower in self._followers:
                 follower.restart_if_behind()
 
--- a/dunlinnotch/protocol/relay.py
+++ b/dunlinnotch/protocol/relay.py
@@ -52,13 +52,13 @@
     """What the head of an answer is to the request that waits for one."""
 
     #: The answer to this request.
-    OURS = auto()
+    MATCHING = auto()
     #: The answer to another request; it belongs to nobody here.
-    FOREIGN = auto()
+    UNRELATED = auto()
     #: The target marked its refusal: this request did not run.
     NOT_RUN = auto()
     #: Another target has the address now; this request did not run.
-    ELSEWHERE = auto()
+    WRONG_TARGET = auto()
     #: No answer that a caller may be given.
     UNUSABLE = auto()
 
@@ -71,7 +71,7 @@
     ) -> Sequence[Header]:
         """Return the headers of a request passed on with ``left`` seconds to run."""
 
-    def judge(self, head: AnswerHead, request: CallerRequest) -> Verdict:
+    def classify(self, head: AnswerHead, request: CallerRequest) -> Verdict:
         """Tell what an answer's head is to a request."""
 
     def answer_headers(self, head: AnswerHead) -> Sequence[Header]:
@@ -91,14 +91,14 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class ProbeResult:
     """A target's answer to a probe, with the connection on which it came.
 
     Parameters
     ----------
     instance : str or None
         Which target answered; ``None`` if there was no usable answer.
-    well : bool
+    healthy : bool
         Whether the target calls itself well.
     status : TargetStatus, optional
         What it said beside; ``None`` if there was no answer.
@@ -109,7 +109,7 @@
     """
 
     instance: str | None
-    well: bool
+    healthy: bool
     status: TargetStatus | None = None
     detail: str = ""
     link: object | None = None
@@ -137,10 +137,10 @@
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """The target said that the request did not run; ``elsewhere`` if it is another target."""
+    """The target said that the request did not run; ``wrong_target`` if it is another target."""
 
     status: int
-    elsewhere: bool
+    wrong_target: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -180,13 +180,13 @@
 class TargetPort(Protocol):
     """Probes targets and sends them requests."""
 
-    async def ask(self, address: Address, path: str) -> Asked:
+    async def probe(self, address: Address, path: str) -> ProbeResult:
         """Probe a target."""
 
-    def release(self, address: Address, asked: Asked) -> None:
+    def release(self, address: Address, probe_result: ProbeResult) -> None:
         """Give back the connection of a probe that is not used."""
 
-    async def has_ended(self, address: Address) -> bool:
+    async def is_gone(self, address: Address) -> bool:
         """Return whether nobody listens at a target's address any more."""
 
     async def attempt(
@@ -199,7 +199,7 @@
         instance: str,
         still: Callable[[], bool],
         said: Callable[[TargetStatus], None],
-        asked: Asked | None = None,
+        probe_result: ProbeResult | None = None,
         once: bool = False,
     ) -> AttemptEnd:
         """Send one request and wait for the head of its answer."""
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -21,11 +21,11 @@
 from dunlinnotch.coordination.choosing.fresh import FreshChooser
 from dunlinnotch.coordination.choosing.saturation import Saturation
 from dunlinnotch.coordination.choosing.work_times import WorkTimes
-from dunlinnotch.coordination.membership.crash_news import CrashNews
+from dunlinnotch.coordination.membership.crash_gossip import CrashGossip
 from dunlinnotch.coordination.membership.links import Links
 from dunlinnotch.coordination.membership.mesh import STALE_S, Mesh
+from dunlinnotch.coordination.membership.pause_detector import PauseDetector
 from dunlinnotch.coordination.membership.rows import Membership
-from dunlinnotch.coordination.membership.wake import WakeWatch
 from dunlinnotch.coordination.requests import idempotency
 from dunlinnotch.coordination.requests.crash_guard import CrashGuard
 from dunlinnotch.coordination.requests.drain import Drain
@@ -37,9 +37,9 @@
 from dunlinnotch.coordination.settings.store_tables import ActiveRoutes, TargetListing
 from dunlinnotch.daemon.entry import EntryBox
 from dunlinnotch.platform.dialect import WorkerDialect
-from dunlinnotch.protocol.answers import OnceKey, parse_once_key
+from dunlinnotch.protocol.answers import IdempotencyKey, parse_idempotency_key
 from dunlinnotch.protocol.attempt import Broken
-from dunlinnotch.protocol.mesh import BoxWord
+from dunlinnotch.protocol.mesh import Heartbeat
 from dunlinnotch.protocol.outcome import Outcome
 from dunlinnotch.protocol.relay import Verdict
 from dunlinnotch.state.crashes import CrashRecord
@@ -148,8 +148,8 @@
 
 
 def _anybodys_key(text):
-    key = parse_once_key(text)
-    return None if key is None else OnceKey(_Any(), _Any(), key.minted_ms, key.suffix)
+    key = parse_idempotency_key(text)
+    return None if key is None else IdempotencyKey(_Any(), _Any(), key.issued_ms, key.suffix)
 
 
 def _own_word_only(self, version):
@@ -169,15 +169,15 @@
 
 
 def _anybodys_answer(self, head, request):
-    return Verdict.OURS
+    return Verdict.MATCHING
 
 
 def _no_promise_checked(self, head, request):
-    verdict = _judge(self, head, request)
+    verdict = _classify(self, head, request)
     return Verdict.NOT_RUN if head.status == 503 else verdict
 
 
-_judge = WorkerDialect.judge
+_classify = WorkerDialect.classify
 
 
 def _leave_nothing(self, listed):
@@ -316,17 +316,17 @@
 _REQUEST_HEADERS = WorkerDialect.request_headers
 
 ENTRY, SHARES = "tests/test_entry.py", "tests/test_shares.py"
-CRASHING, CRASH_NEWS = "tests/test_crashing.py", "tests/test_crash_news.py"
+CRASHING, CRASH_GOSSIP = "tests/test_crashing.py", "tests/test_crash_gossip.py"
 LINKS, ASKING = "tests/test_links.py", "tests/test_asking.py"
 REST, LEAVING = "tests/test_rest.py", "tests/test_leaving_words.py"
 
 MUTANTS = (
     Mutant("repeat what may run once", Forwarder, "_may_retry", _repeat_anything, ENTRY),
-    Mutant("take any answer for one's own", WorkerDialect, "judge", _anybodys_answer, ENTRY),
-    Mutant("promise for a bare 503", WorkerDialect, "judge", _no_promise_checked, ENTRY),
+    Mutant("take any answer for one's own", WorkerDialect, "classify", _anybodys_answer, ENTRY),
+    Mutant("promise for a bare 503", WorkerDialect, "classify", _no_promise_checked, ENTRY),
     Mutant("bar no request", CrashGuard, "quarantine_left", _bar_nothing, CRASHING),
-    Mutant("tell no peer what ended targets", CrashNews, "_changed", _tell_no_peer, CRASH_NEWS),
-    Mutant("keep no bar in the store", CrashNews, "_keep", _keep_nothing, CRASH_NEWS),
+    Mutant("tell no peer what ended targets", CrashGossip, "_changed", _tell_no_peer, CRASH_GOSSIP),
+    Mutant("keep no bar in the store", CrashGossip, "_keep", _keep_nothing, CRASH_GOSSIP),
     Mutant(
         "count targets that ended at once",
         CrashRecord,
@@ -336,10 +336,10 @@
     ),
     Mutant(
         "act at once on waking",
-        WakeWatch,
+        PauseDetector,
         "catching_up",
         property(_never_catch_up),
-        "tests/test_wake.py",
+        "tests/test_pause_detector.py",
     ),
     Mutant(
         "take starts for one",
@@ -382,7 +382,7 @@
     Mutant("repeat without a budget", RepeatShare, "take", _spend_freely, SHARES),
     Mutant("leave the store to others", Mesh, "is_reader", _nobody_reads, "tests/test_mesh.py"),
     Mutant("tell no other place", Links, "far", _tell_nobody_far, LINKS),
-    Mutant("take a word told on for a new one", BoxWord, "aged", _told_on_as_new, LINKS),
+    Mutant("take a word told on for a new one", Heartbeat, "aged", _told_on_as_new, LINKS),
     Mutant("count the boxes of the own place", Mesh, "_count", _count_own_place, LINKS),
     Mutant("all read the store at the start", Mesh, "stale", _impatient, "tests/test_mesh.py"),
     Mutant(
@@ -411,10 +411,10 @@
     ),
     Mutant(
         "keep a bar in the store only once",
-        CrashNews,
+        CrashGossip,
         "_keep_again",
         _keep_once,
-        "tests/test_crash_news.py",
+        "tests/test_crash_gossip.py",
     ),
     Mutant(
         "hold to the number of a start", Mesh, "_outgrow", _never_renumber, "tests/test_mesh.py"
@@ -453,7 +453,7 @@
     Mutant(
         "run a key of another box",
         idempotency,
-        "parse_once_key",
+        "parse_idempotency_key",
         _anybodys_key,
     ),
     Mutant(
