--- a/benchmarks/goodput.py
+++ b/benchmarks/goodput.py
@@ -20,7 +20,7 @@
 from benchmarks._virtual import run_virtually
 from dunlinnotch.coordination.budgets.shares import ProbeShare, RepeatShare
 from dunlinnotch.coordination.choosing.asking import TargetSeeker
-from dunlinnotch.coordination.choosing.fresh import FreshChooser
+from dunlinnotch.coordination.choosing.fresh_reports import FreshReportChooser
 from dunlinnotch.coordination.choosing.work_times import WorkTimes
 from dunlinnotch.coordination.requests.crash_guard import CrashGuard
 from dunlinnotch.coordination.requests.forward import Forwarder
@@ -309,7 +309,7 @@
         probes = ProbeShare(_PROBES_PER_S, clock=clock)
         probes.boxes = BOXES
         times = WorkTimes()
-        chooser = FreshChooser(place=place, times=times, rng=rng)
+        chooser = FreshReportChooser(place=place, times=times, rng=rng)
         targets = ModelTargets(self._targets)
         seeker = TargetSeeker(
             instances=instances,
--- a/dunlinnotch/coordination/choosing/asking.py
+++ b/dunlinnotch/coordination/choosing/asking.py
@@ -16,7 +16,7 @@
 from typing import TYPE_CHECKING
 
 from dunlinnotch._logs import event
-from dunlinnotch.coordination.choosing.fresh import FRESH_S, USEFUL_S, excess
+from dunlinnotch.coordination.choosing.fresh_reports import FRESH_S, USEFUL_S, excess
 from dunlinnotch.coordination.choosing.saturation import Saturation
 from dunlinnotch.coordination.choosing.waiting import Pick, ServiceQueue, Waiter
 from dunlinnotch.coordination.choosing.work_times import Start
@@ -29,7 +29,7 @@
     from collections.abc import Callable, Collection, Coroutine, Iterator
 
     from dunlinnotch.coordination.budgets.shares import ProbeShare
-    from dunlinnotch.coordination.choosing.fresh import FreshChooser
+    from dunlinnotch.coordination.choosing.fresh_reports import FreshReportChooser
     from dunlinnotch.protocol.relay import TargetPort
     from dunlinnotch.state.instances import Instance, InstanceList
     from dunlinnotch.types import Seconds
@@ -52,7 +52,7 @@
     Parameters
     ----------
     instances : InstanceList
-    chooser : FreshChooser
+    chooser : FreshReportChooser
     probes : ProbeShare
     probe_path : callable
         Returns the path of a service's health check; empty if there is none.
@@ -65,7 +65,7 @@
         self,
         *,
         instances: InstanceList,
-        chooser: FreshChooser,
+        chooser: FreshReportChooser,
         probes: ProbeShare,
         probe_path: Callable[[str], str],
         targets: TargetPort,
--- a/dunlinnotch/coordination/choosing/fresh.py
+++ b/dunlinnotch/coordination/choosing/fresh_reports.py
@@ -85,7 +85,7 @@
     return now < max(instance.rest_until, instance.aside_until)
 
 
-class FreshChooser:
+class FreshReportChooser:
     """Say whom to ask, and note how targets do.
 
     Parameters
--- a/dunlinnotch/coordination/requests/forward.py
+++ b/dunlinnotch/coordination/requests/forward.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING, Protocol
 
 from dunlinnotch._logs import event
-from dunlinnotch.coordination.choosing.fresh import GOOD
+from dunlinnotch.coordination.choosing.fresh_reports import GOOD
 from dunlinnotch.coordination.requests.bodies import HeldBody
 from dunlinnotch.coordination.requests.crash_guard import Suspect
 from dunlinnotch.coordination.requests.fingerprint import fingerprint
@@ -31,7 +31,7 @@
 
     from dunlinnotch.coordination.budgets.shares import RepeatShare
     from dunlinnotch.coordination.choosing.asking import TargetSeeker
-    from dunlinnotch.coordination.choosing.fresh import FreshChooser
+    from dunlinnotch.coordination.choosing.fresh_reports import FreshReportChooser
     from dunlinnotch.coordination.choosing.waiting import Pick
     from dunlinnotch.coordination.choosing.work_times import WorkTimes
     from dunlinnotch.coordination.requests.crash_guard import CrashGuard
@@ -74,7 +74,7 @@
     catching_up : callable
         Returns whether the box stood still and does not know yet what has changed.
     instances : InstanceList
-    chooser : FreshChooser
+    chooser : FreshReportChooser
     times : WorkTimes
     seeker : TargetSeeker
     make_repeats : callable
@@ -92,7 +92,7 @@
         age: Callable[[], Seconds],
         catching_up: Callable[[], bool],
         instances: InstanceList,
-        chooser: FreshChooser,
+        chooser: FreshReportChooser,
         times: WorkTimes,
         seeker: TargetSeeker,
         make_repeats: Callable[[], RepeatShare],
--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -14,7 +14,7 @@
 from dunlinnotch._logs import event
 from dunlinnotch.coordination.budgets.shares import ProbeShare, RepeatShare
 from dunlinnotch.coordination.choosing.asking import TargetSeeker
-from dunlinnotch.coordination.choosing.fresh import FreshChooser
+from dunlinnotch.coordination.choosing.fresh_reports import FreshReportChooser
 from dunlinnotch.coordination.choosing.work_times import WorkTimes
 from dunlinnotch.coordination.membership.crash_news import CrashNews
 from dunlinnotch.coordination.membership.mesh import DRAINING, RUNNING, STALE_S, Mesh
@@ -194,7 +194,7 @@
         self._crash_guard = CrashGuard(self.crashes, self._targets, tell=self.crash_news.tell)
         self.probes = ProbeShare(settings.probes_per_s, clock=clock)
         self.times = WorkTimes()
-        chooser = FreshChooser(place=settings.place, times=self.times, rng=rng)
+        chooser = FreshReportChooser(place=settings.place, times=self.times, rng=rng)
         self.seeker = TargetSeeker(
             instances=self.instances,
             chooser=chooser,
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -18,7 +18,7 @@
 from dunlinnotch.coordination.budgets import probes, seats
 from dunlinnotch.coordination.budgets.shares import ProbeShare, RepeatShare
 from dunlinnotch.coordination.choosing.asking import TargetSeeker
-from dunlinnotch.coordination.choosing.fresh import FreshChooser
+from dunlinnotch.coordination.choosing.fresh_reports import FreshReportChooser
 from dunlinnotch.coordination.choosing.saturation import Saturation
 from dunlinnotch.coordination.choosing.work_times import WorkTimes
 from dunlinnotch.coordination.membership.crash_news import CrashNews
@@ -353,7 +353,7 @@
     Mutant(
         "hear no target say it leaves", InstanceList, "leave_for_good", _hear_no_leaving, LEAVING
     ),
-    Mutant("set no target aside that refuses", FreshChooser, "refused", _blame_nobody, REST),
+    Mutant("set no target aside that refuses", FreshReportChooser, "refused", _blame_nobody, REST),
     Mutant("try any number of targets", Forwarder, "_may_repeat", _any_number_of_tries, ENTRY),
     Mutant("give targets three seconds more", WorkerDialect, "request_headers", _more_time, ENTRY),
     Mutant("let no target leave", InstanceList, "_take_leaving", _leave_nothing, ENTRY),
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -10,7 +10,7 @@
 
 from dunlinnotch.coordination.budgets.shares import ProbeShare
 from dunlinnotch.coordination.choosing.asking import TargetSeeker
-from dunlinnotch.coordination.choosing.fresh import FreshChooser
+from dunlinnotch.coordination.choosing.fresh_reports import FreshReportChooser
 from dunlinnotch.coordination.choosing.work_times import WorkTimes
 from dunlinnotch.protocol.relay import Asked
 from dunlinnotch.state.instances import InstanceList, ListedTarget
@@ -48,7 +48,7 @@
         rng = random.Random(1)
         seeker = TargetSeeker(
             instances=instances,
-            chooser=FreshChooser(place="hall-a", times=WorkTimes(), rng=rng),
+            chooser=FreshReportChooser(place="hall-a", times=WorkTimes(), rng=rng),
             probes=probes,
             probe_path=lambda service: "/health",
             targets=targets,
@@ -202,7 +202,7 @@
         loop = asyncio.get_running_loop()
         seeker = TargetSeeker(
             instances=instances,
-            chooser=FreshChooser(place="hall-a", times=WorkTimes(), rng=random.Random(1)),
+            chooser=FreshReportChooser(place="hall-a", times=WorkTimes(), rng=random.Random(1)),
             probes=ProbeShare(60.0, clock=loop.time),
             probe_path=lambda service: "/health",
             targets=targets,
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from dunlinnotch.coordination.choosing.fresh import FRESH_S
+from dunlinnotch.coordination.choosing.fresh_reports import FRESH_S
 from dunlinnotch.standins.users.store import StoreFault
 from dunlinnotch.standins.users.worker import WorkerFault, WorkerSettings
 from dunlinnotch.transport.stream.link_pool import LinkPool
