--- a/benchmarks/goodput.py
+++ b/benchmarks/goodput.py
@@ -19,8 +19,8 @@
 
 from benchmarks._virtual import run_virtually
 from dunlinnotch.coordination.budgets.shares import ProbeShare, RepeatShare
-from dunlinnotch.coordination.choosing.asking import TargetSeeker
 from dunlinnotch.coordination.choosing.fresh_reports import FreshReportChooser
+from dunlinnotch.coordination.choosing.selector import TargetSelector
 from dunlinnotch.coordination.choosing.work_times import WorkTimes
 from dunlinnotch.coordination.requests.crash_guard import CrashGuard
 from dunlinnotch.coordination.requests.forward import Forwarder
@@ -311,7 +311,7 @@
         times = WorkTimes()
         chooser = FreshReportChooser(place=place, times=times, rng=rng)
         targets = ModelTargets(self._targets)
-        seeker = TargetSeeker(
+        selector = TargetSelector(
             instances=instances,
             chooser=chooser,
             probes=probes,
@@ -328,7 +328,7 @@
             instances=instances,
             chooser=chooser,
             times=times,
-            seeker=seeker,
+            selector=selector,
             make_repeats=lambda: RepeatShare(ratio=0.2, slack=62, window=10, clock=clock),
             guard=CrashGuard(CrashLog(clock=clock), targets, tell=lambda _: None),
             targets=targets,
--- a/dunlinnotch/coordination/choosing/asking.py
+++ b/dunlinnotch/coordination/choosing/selector.py
@@ -46,7 +46,7 @@
 _ASK_LOST_S = 0.3
 
 
-class TargetSeeker:
+class TargetSelector:
     """Find targets for requests.
 
     Parameters
--- a/dunlinnotch/coordination/requests/forward.py
+++ b/dunlinnotch/coordination/requests/forward.py
@@ -30,8 +30,8 @@
     from collections.abc import AsyncIterator, Callable
 
     from dunlinnotch.coordination.budgets.shares import RepeatShare
-    from dunlinnotch.coordination.choosing.asking import TargetSeeker
     from dunlinnotch.coordination.choosing.fresh_reports import FreshReportChooser
+    from dunlinnotch.coordination.choosing.selector import TargetSelector
     from dunlinnotch.coordination.choosing.waiting import Pick
     from dunlinnotch.coordination.choosing.work_times import WorkTimes
     from dunlinnotch.coordination.requests.crash_guard import CrashGuard
@@ -76,7 +76,7 @@
     instances : InstanceList
     chooser : FreshReportChooser
     times : WorkTimes
-    seeker : TargetSeeker
+    selector : TargetSelector
     make_repeats : callable
         Makes the repeat budget of a service.
     guard : CrashGuard
@@ -94,7 +94,7 @@
         instances: InstanceList,
         chooser: FreshReportChooser,
         times: WorkTimes,
-        seeker: TargetSeeker,
+        selector: TargetSelector,
         make_repeats: Callable[[], RepeatShare],
         guard: CrashGuard,
         targets: TargetPort,
@@ -107,7 +107,7 @@
         self._instances = instances
         self._chooser = chooser
         self._times = times
-        self._seeker = seeker
+        self._selector = selector
         self._make_repeats = make_repeats
         self._guard = guard
         self._targets = targets
@@ -255,7 +255,7 @@
         """Return after how long a refused caller may come back."""
         if ending.retry_after is not None:
             return ending.retry_after
-        rest = self._seeker.rest_left(run.service)
+        rest = self._selector.rest_left(run.service)
         unknowing = ending.reason in (Reason.NO_SETTINGS, Reason.CATCHING_UP)
         wait = _COME_BACK_UNKNOWING_S if unknowing else _COME_BACK_S
         if run.kind is not None:
@@ -280,10 +280,10 @@
             if pick is None:
                 return last or self._nobody(run, service)
             if not self._still(run, pick):
-                self._seeker.release(pick)
+                self._selector.release(pick)
                 continue
             if run.sends and not self.repeats(service).take():
-                self._seeker.release(pick)
+                self._selector.release(pick)
                 return last or self._nobody(run, service)
             end = await self._attempt(run, kind, pick)
             settled = await self._settle(run, kind, pick.instance, end)
@@ -316,7 +316,7 @@
         if not self._instances.of(service):
             detail = f"service {service!r} has no target"
             return Ending(Outcome.NOT_RUN, 503, Reason.NO_TARGET, detail)
-        if self._seeker.rest_left(service):
+        if self._selector.rest_left(service):
             detail = f"all targets of service {service!r} want rest"
             return Ending(Outcome.NOT_RUN, 503, Reason.TARGETS_RESTING, detail)
         return Ending(Outcome.NOT_RUN, 503, Reason.QUEUE_FULL, "no target is free in time")
@@ -360,7 +360,7 @@
     def _hear(self, trial: Try, status: TargetStatus) -> None:
         """Take in what a target says of itself beside its answer."""
         trial.said = status
-        self._seeker.heard(trial.pick.instance, status)
+        self._selector.heard(trial.pick.instance, status)
 
     async def _settle(
         self, run: Run, kind: RequestKind, instance: Instance, end: AttemptEnd
@@ -442,7 +442,7 @@
         in_time = min(run.request.deadline, run.first_try + kind.target_latency)
         late = min(run.request.deadline, run.request.arrived + kind.timeout)
         usual = self._times.usual(kind.name)
-        return await self._seeker.choose(
+        return await self._selector.choose(
             service,
             rank=kind.rank,
             tried=run.tried,
--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -13,8 +13,8 @@
 from dunlinnotch._clocks import elapsed
 from dunlinnotch._logs import event
 from dunlinnotch.coordination.budgets.shares import ProbeShare, RepeatShare
-from dunlinnotch.coordination.choosing.asking import TargetSeeker
 from dunlinnotch.coordination.choosing.fresh_reports import FreshReportChooser
+from dunlinnotch.coordination.choosing.selector import TargetSelector
 from dunlinnotch.coordination.choosing.work_times import WorkTimes
 from dunlinnotch.coordination.membership.crash_news import CrashNews
 from dunlinnotch.coordination.membership.mesh import DRAINING, RUNNING, STALE_S, Mesh
@@ -195,7 +195,7 @@
         self.probes = ProbeShare(settings.probes_per_s, clock=clock)
         self.times = WorkTimes()
         chooser = FreshReportChooser(place=settings.place, times=self.times, rng=rng)
-        self.seeker = TargetSeeker(
+        self.selector = TargetSelector(
             instances=self.instances,
             chooser=chooser,
             probes=self.probes,
@@ -211,7 +211,7 @@
             instances=self.instances,
             chooser=chooser,
             times=self.times,
-            seeker=self.seeker,
+            selector=self.selector,
             make_repeats=self._make_repeats,
             guard=self._crash_guard,
             targets=self._targets,
@@ -412,7 +412,7 @@
             "probes_denied_total": float(self.probes.denied),
             "connections_opened_total": float(self._targets.opened),
             "entries_unreadable_total": float(self._listed.unreadable + self.routes.unreadable),
-            "rests_asked_total": float(self.seeker.rests_asked),
+            "rests_asked_total": float(self.selector.rests_asked),
             "targets_ended_total": float(self._crash_guard.targets_ended),
             "requests_barred": float(self.crashes.barred),
             "store_calls_total": float(self._adapter.store_calls()),
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -17,9 +17,9 @@
 
 from dunlinnotch.coordination.budgets import probes, seats
 from dunlinnotch.coordination.budgets.shares import ProbeShare, RepeatShare
-from dunlinnotch.coordination.choosing.asking import TargetSeeker
 from dunlinnotch.coordination.choosing.fresh_reports import FreshReportChooser
 from dunlinnotch.coordination.choosing.saturation import Saturation
+from dunlinnotch.coordination.choosing.selector import TargetSelector
 from dunlinnotch.coordination.choosing.work_times import WorkTimes
 from dunlinnotch.coordination.membership.crash_news import CrashNews
 from dunlinnotch.coordination.membership.links import Links
@@ -317,7 +317,7 @@
 
 ENTRY, SHARES = "tests/test_entry.py", "tests/test_shares.py"
 CRASHING, CRASH_NEWS = "tests/test_crashing.py", "tests/test_crash_news.py"
-LINKS, ASKING = "tests/test_links.py", "tests/test_asking.py"
+LINKS, SELECTOR = "tests/test_links.py", "tests/test_selector.py"
 REST, LEAVING = "tests/test_rest.py", "tests/test_leaving_words.py"
 
 MUTANTS = (
@@ -392,9 +392,9 @@
         _never_behind,
         "tests/test_following.py",
     ),
-    Mutant("send what can't end in time", TargetSeeker, "_bearable", _bear_anything, ENTRY),
-    Mutant("send to targets found full", Saturation, "room", 1.0, ASKING),
-    Mutant("hand no target to those that wait", TargetSeeker, "_offer", _offer_nothing, ASKING),
+    Mutant("send what can't end in time", TargetSelector, "_bearable", _bear_anything, ENTRY),
+    Mutant("send to targets found full", Saturation, "room", 1.0, SELECTOR),
+    Mutant("hand no target to those that wait", TargetSelector, "_offer", _offer_nothing, SELECTOR),
     Mutant(
         "learn nothing of fullness",
         WorkTimes,
--- a/tests/test_rest.py
+++ b/tests/test_rest.py
@@ -14,7 +14,7 @@
 
 import pytest
 
-from dunlinnotch.coordination.choosing.asking import TargetSeeker
+from dunlinnotch.coordination.choosing.selector import TargetSelector
 from dunlinnotch.standins.users.worker import WorkerSettings
 from tests.stream_world import call, document, stream_world, until
 
@@ -84,7 +84,7 @@
             await until(lambda: len(world.boxes[0].instances.of("loans")) == 2)
             await asyncio.gather(*(send_for(world.boxes[0], REST_S / 2) for _ in range(4)))
             await until(lambda: turned_away(tired))
-            await until(lambda: not any(q.asking for q in world.boxes[0].seeker._queues.values()))
+            await until(lambda: not any(q.asking for q in world.boxes[0].selector._queues.values()))
             before = tired.probes
             await send_for(world.boxes[0], REST_S / 3)
             assert tired.probes == before
@@ -103,7 +103,7 @@
             await until(lambda: len(world.boxes[0].instances.of("loans")) == 2)
             # The first learns that both want rest; the others need not ask.
             await call(world.boxes[0], "/read/a", "first")
-            monkeypatch.setattr(TargetSeeker, "_wait", never)
+            monkeypatch.setattr(TargetSelector, "_wait", never)
             answer = await call(world.boxes[0], "/read/a", "second")
             assert answer.status == 503
             assert 15 < float(answer.headers["retry-after"]) < 30
--- a/tests/test_asking.py
+++ b/tests/test_selector.py
@@ -1,4 +1,4 @@
-"""Whom a seeker asks, and what it takes when nobody is good."""
+"""Whom a selector asks, and what it takes when nobody is good."""
 
 from __future__ import annotations
 
@@ -9,8 +9,8 @@
 import pytest
 
 from dunlinnotch.coordination.budgets.shares import ProbeShare
-from dunlinnotch.coordination.choosing.asking import TargetSeeker
 from dunlinnotch.coordination.choosing.fresh_reports import FreshReportChooser
+from dunlinnotch.coordination.choosing.selector import TargetSelector
 from dunlinnotch.coordination.choosing.work_times import WorkTimes
 from dunlinnotch.protocol.relay import Asked
 from dunlinnotch.state.instances import InstanceList, ListedTarget
@@ -46,7 +46,7 @@
         targets = Targets(slowness or {}, running)
         probes = ProbeShare(probes_per_s, clock=lambda: 100.0)
         rng = random.Random(1)
-        seeker = TargetSeeker(
+        selector = TargetSelector(
             instances=instances,
             chooser=FreshReportChooser(place="hall-a", times=WorkTimes(), rng=rng),
             probes=probes,
@@ -60,7 +60,7 @@
             # What was heard before is as good as forgotten.
             for instance in instances.all():
                 instance.reported_at = instance.asked_at = -1e9
-            picks.append(await seeker.choose("s", rank=0, tried=(), give_up=0.0, **limits))
+            picks.append(await selector.choose("s", rank=0, tried=(), give_up=0.0, **limits))
         return [pick and (pick.instance.name, pick.why) for pick in picks], targets.asked
 
     return asyncio.run(bounded())
@@ -141,7 +141,7 @@
 
 
 def test_a_slow_target_is_taken_late_only_where_none_has_been_good_for_a_while():
-    async def act(seeker, instances, targets, choose):
+    async def act(selector, instances, targets, choose):
         found = choose()
         await turns()
         targets.answer("t-0")
@@ -192,7 +192,7 @@
 
 
 def queued(names, act, **kwargs):
-    """Run ``act`` with a seeker whose probes are answered by hand."""
+    """Run ``act`` with a selector whose probes are answered by hand."""
 
     async def bounded():
         instances = InstanceList()
@@ -200,7 +200,7 @@
             instances.take(ListedTarget(name, "s", place, f"{name}:1", 3, False, 1, 0.0), 0.0)
         targets = SlowTargets()
         loop = asyncio.get_running_loop()
-        seeker = TargetSeeker(
+        selector = TargetSelector(
             instances=instances,
             chooser=FreshReportChooser(place="hall-a", times=WorkTimes(), rng=random.Random(1)),
             probes=ProbeShare(60.0, clock=loop.time),
@@ -212,10 +212,10 @@
 
         def choose(rank=0, tried=(), wait=20.0):
             give_up = loop.time() + wait
-            work = seeker.choose("s", rank=rank, tried=tried, give_up=give_up, most=1.0)
+            work = selector.choose("s", rank=rank, tried=tried, give_up=give_up, most=1.0)
             return asyncio.ensure_future(work)
 
-        await act(seeker, instances, targets, choose)
+        await act(selector, instances, targets, choose)
 
     asyncio.run(bounded())
 
@@ -227,7 +227,7 @@
 
 
 def test_each_that_waits_has_two_probes_under_way_and_all_together_a_bounded_number():
-    async def act(seeker, instances, targets, choose):
+    async def act(selector, instances, targets, choose):
         waiting = [choose()]
         await turns()
         assert len(targets.asked) == 2
@@ -241,7 +241,7 @@
 
 
 def test_the_most_urgent_that_waits_gets_the_first_good_target():
-    async def act(seeker, instances, targets, choose):
+    async def act(selector, instances, targets, choose):
         later, urgent = choose(rank=2), choose(rank=0)
         await turns()
         # It has room for one: a third of three slots would be slow.
@@ -256,12 +256,12 @@
 
 
 def test_an_answer_s_report_hands_its_target_to_one_that_waits():
-    async def act(seeker, instances, targets, choose):
+    async def act(selector, instances, targets, choose):
         waiting = [choose() for _ in range(3)]
         await turns()
         (instance,) = instances.of("s")
         # One of three slots is taken; a third one would be slow.
-        seeker.heard(instance, TargetStatus(TargetReport(1, 0, 3)))
+        selector.heard(instance, TargetStatus(TargetReport(1, 0, 3)))
         await turns()
         assert [task.done() for task in waiting] == [True, False, False]
         assert waiting[0].result().why == "fresh"
@@ -272,7 +272,7 @@
 
 
 def test_a_target_that_was_tried_is_not_handed_to_the_same_request():
-    async def act(seeker, instances, targets, choose):
+    async def act(selector, instances, targets, choose):
         again, other = choose(tried=("t-0",)), choose()
         await turns()
         targets.answer("t-0")
@@ -286,7 +286,7 @@
 
 
 def test_a_request_that_is_given_up_leaves_the_queue_and_gives_back_its_target():
-    async def act(seeker, instances, targets, choose):
+    async def act(selector, instances, targets, choose):
         first, second = choose(), choose()
         await turns()
         targets.answer("t-0")
@@ -302,7 +302,7 @@
 
 
 def test_a_probe_that_hangs_does_not_hold_up_the_next():
-    async def act(seeker, instances, targets, choose):
+    async def act(selector, instances, targets, choose):
         waiting = choose()
         await turns()
         assert len(targets.asked) == 2
@@ -321,10 +321,10 @@
 
 
 def test_a_target_that_asks_for_rest_is_not_handed_to_those_that_wait():
-    async def act(seeker, instances, targets, choose):
+    async def act(selector, instances, targets, choose):
         waiting = choose()
         await turns()
-        seeker.heard(instances.find("t-0"), REST)
+        selector.heard(instances.find("t-0"), REST)
         await turns()
         assert not waiting.done()
         # A probe answered before does not speak for it any more.
@@ -338,29 +338,29 @@
 
 
 def test_nobody_waits_once_the_last_target_rests_for_longer():
-    async def act(seeker, instances, targets, choose):
+    async def act(selector, instances, targets, choose):
         waiting = [choose(), choose(rank=2)]
         await turns()
-        seeker.heard(instances.find("t-0"), REST)
+        selector.heard(instances.find("t-0"), REST)
         await turns()
         assert not any(task.done() for task in waiting)
-        seeker.heard(instances.find("t-1"), REST)
+        selector.heard(instances.find("t-1"), REST)
         assert await asyncio.gather(*waiting) == [None, None]
         assert await choose() is None
-        assert 29 < seeker.rest_left("s") <= 30
+        assert 29 < selector.rest_left("s") <= 30
 
     queued([("hall-a", "t-0"), ("hall-a", "t-1")], act)
 
 
 def test_a_rest_that_ends_in_time_is_waited_for():
-    async def act(seeker, instances, targets, choose):
-        seeker.heard(instances.find("t-0"), SHORT_REST)
+    async def act(selector, instances, targets, choose):
+        selector.heard(instances.find("t-0"), SHORT_REST)
         waiting = choose()
         await turns()
         assert not targets.asked
         while not targets.asked:
             await asyncio.sleep(0.001)
-        assert seeker.rest_left("s") == 0.0
+        assert selector.rest_left("s") == 0.0
         targets.answer("t-0")
         assert (await waiting).instance.name == "t-0"
 
@@ -368,11 +368,11 @@
 
 
 def test_a_probe_that_is_turned_away_asks_for_rest_too():
-    async def act(seeker, instances, targets, choose):
+    async def act(selector, instances, targets, choose):
         waiting = choose()
         await turns()
         targets.waiting.pop("t-0").set_result(Asked("t-0", well=False, status=REST))
         assert await waiting is None
-        assert seeker.rest_left("s") > 29
+        assert selector.rest_left("s") > 29
 
     queued([("hall-a", "t-0")], act)
