--- a/dunlinnotch/coordination/choosing/selector.py
+++ b/dunlinnotch/coordination/choosing/selector.py
@@ -18,7 +18,7 @@
 from dunlinnotch._logs import event
 from dunlinnotch.coordination.choosing.fresh_reports import FRESH_S, USEFUL_S, excess
 from dunlinnotch.coordination.choosing.saturation import Saturation
-from dunlinnotch.coordination.choosing.waiting import Pick, ServiceQueue, Waiter
+from dunlinnotch.coordination.choosing.waiting import Selection, ServiceQueue, Waiter
 from dunlinnotch.coordination.choosing.work_times import Start
 from dunlinnotch.protocol.relay import Asked
 from dunlinnotch.state.target_status import TargetReport, TargetStatus
@@ -97,7 +97,7 @@
         start_by: Seconds = math.inf,
         most: float = math.inf,
         most_late: float = math.inf,
-    ) -> Pick | None:
+    ) -> Selection | None:
         """Return a target for one request, or None if there is none in time.
 
         Parameters
@@ -136,7 +136,7 @@
             return pick
         return self._last_chance(queue, tried, (most, most_late))
 
-    def release(self, pick: Pick) -> None:
+    def release(self, pick: Selection) -> None:
         """Give back a target that is not used."""
         instance = pick.instance
         instance.sent_since_report = max(0, instance.sent_since_report - 1)
@@ -166,7 +166,7 @@
 
     # -- waiting for a good target
 
-    def _known_good(self, service: str, tried: Collection[str]) -> Pick | None:
+    def _known_good(self, service: str, tried: Collection[str]) -> Selection | None:
         """Return a target that is good by a report of the last milliseconds."""
         now = self._loop.time()
         for instance in self._chooser.order(self._instances.of(service), now, exclude=tried):
@@ -174,7 +174,7 @@
                 return self._pick(instance, None, "fresh")
         return None
 
-    async def _wait(self, queue: ServiceQueue, waiter: Waiter) -> Pick | None:
+    async def _wait(self, queue: ServiceQueue, waiter: Waiter) -> Selection | None:
         """Wait in a queue until a target is heard to be good."""
         queue.waiters.append(waiter)
         self._ask_for(queue)
@@ -209,7 +209,7 @@
         now = self._loop.time()
         return self._chooser.good(instance, now) or self._chooser.tries(instance, now)
 
-    def _pick(self, instance: Instance, asked: Asked | None, why: str) -> Pick:
+    def _pick(self, instance: Instance, asked: Asked | None, why: str) -> Selection:
         now = self._loop.time()
         report = instance.report
         start = Start(
@@ -218,7 +218,7 @@
             slowness=1.0 if report is None else report.slowness,
             report_age=now - instance.reported_at,
         )
-        pick = Pick(instance, asked, why, self._chooser.expected(instance, now), start)
+        pick = Selection(instance, asked, why, self._chooser.expected(instance, now), start)
         instance.sent_since_report += 1
         if why in ("good", "fresh"):
             self._queue(instance.listed.service).good_at = now
@@ -228,7 +228,7 @@
 
     def _last_chance(
         self, queue: ServiceQueue, tried: Collection[str], most: tuple[float, float]
-    ) -> Pick | None:
+    ) -> Selection | None:
         """Return the best of what is known, if the request may go there."""
         now = self._loop.time()
         order = self._chooser.order(self._instances.of(queue.service), now, exclude=tried)
--- a/dunlinnotch/coordination/choosing/waiting.py
+++ b/dunlinnotch/coordination/choosing/waiting.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pick:
+class Selection:
     """A target chosen, and what was known of it then.
 
     Parameters
@@ -60,7 +60,7 @@
     #: Up to when a start at a good target ends in time, in monotonic seconds.
     start_by: Seconds
     #: None if no target can be had in time.
-    picked: asyncio.Future[Pick | None]
+    picked: asyncio.Future[Selection | None]
 
     def order(self, now: Seconds) -> tuple[int, bool, Seconds, int]:
         """Return the place among those that wait; the least goes first.
--- a/dunlinnotch/coordination/requests/forward.py
+++ b/dunlinnotch/coordination/requests/forward.py
@@ -32,7 +32,7 @@
     from dunlinnotch.coordination.budgets.shares import RepeatShare
     from dunlinnotch.coordination.choosing.fresh_reports import FreshReportChooser
     from dunlinnotch.coordination.choosing.selector import TargetSelector
-    from dunlinnotch.coordination.choosing.waiting import Pick
+    from dunlinnotch.coordination.choosing.waiting import Selection
     from dunlinnotch.coordination.choosing.work_times import WorkTimes
     from dunlinnotch.coordination.requests.crash_guard import CrashGuard
     from dunlinnotch.protocol.relay import AttemptEnd, CallerRequest, ReplyPort, TargetPort
@@ -299,7 +299,7 @@
         detail = "targets ended under this request each time it was run"
         return Ending(Outcome.NOT_RUN, 503, Reason.REQUEST_BARRED, detail, retry_after=wait)
 
-    def _still(self, run: Run, pick: Pick) -> bool:
+    def _still(self, run: Run, pick: Selection) -> bool:
         """Return whether what the choice rests on still holds after waiting for probes."""
         if self._catching_up():
             return False
@@ -326,7 +326,7 @@
             return False
         return kind.repeatable or not run.may_have_run
 
-    async def _attempt(self, run: Run, kind: RequestKind, pick: Pick) -> AttemptEnd:
+    async def _attempt(self, run: Run, kind: RequestKind, pick: Selection) -> AttemptEnd:
         instance = pick.instance
         now = self._loop.time()
         request = run.request
@@ -435,7 +435,7 @@
         others = [i for i in self._instances.of(run.service) if i.name not in run.tried]
         return bool(others)
 
-    async def _choose(self, run: Run, kind: RequestKind, service: str) -> Pick | None:
+    async def _choose(self, run: Run, kind: RequestKind, service: str) -> Selection | None:
         """Look for a target, at most for a share of the target latency."""
         since = self._loop.time() if run.sends else run.request.arrived
         # What counts for a caller is the time since it first asked, not since it came back.
--- a/dunlinnotch/coordination/requests/run.py
+++ b/dunlinnotch/coordination/requests/run.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     import asyncio
 
-    from dunlinnotch.coordination.choosing.waiting import Pick
+    from dunlinnotch.coordination.choosing.waiting import Selection
     from dunlinnotch.coordination.requests.bodies import HeldBody
     from dunlinnotch.protocol.outcome import Outcome, Reason
     from dunlinnotch.protocol.relay import CallerRequest, ReplyPort
@@ -51,7 +51,7 @@
 
     Parameters
     ----------
-    pick : Pick
+    pick : Selection
     began, took : float
     end : str
         Name of the :data:`~.relay.AttemptEnd`.
@@ -61,7 +61,7 @@
         What the target said of itself beside its answer.
     """
 
-    pick: Pick
+    pick: Selection
     began: Seconds
     took: Seconds = 0.0
     end: str = ""
