--- a/dunlinnotch/coordination/budgets/seats.py
+++ b/dunlinnotch/coordination/budgets/probe_leases.py
@@ -38,7 +38,7 @@
 
 @wire
 @dataclass(frozen=True, slots=True)
-class SeatValue:
+class ProbeLeaseValue:
     """Value of a seat's row.
 
     Parameters
@@ -63,7 +63,7 @@
     at: Seconds
 
 
-class SeatHolder:
+class ProbeLeaseHolder:
     """Hold one seat.
 
     Parameters
@@ -165,7 +165,7 @@
 
     def _take(self, key: str, row: Row | None) -> bool:
         version = row.version if row is not None else 0
-        value = SeatValue(self._box, self._incarnation, self._lease_s)
+        value = ProbeLeaseValue(self._box, self._incarnation, self._lease_s)
         asked = self._clock()
         result = self._platform.transact(
             Transaction((Check(key, version),), (Put(key, _codec.to_json(value).decode()),))
@@ -178,10 +178,10 @@
         return True
 
 
-def _seat_value(row: Row) -> SeatValue | None:
+def _seat_value(row: Row) -> ProbeLeaseValue | None:
     """Return what a seat's row says, or None if it can't be read."""
     try:
-        return _codec.from_json(SeatValue, row.value.encode())
+        return _codec.from_json(ProbeLeaseValue, row.value.encode())
     except ProtocolError as error:
         event(_log, "seat-unreadable", level=logging.ERROR, seat=row.key, detail=str(error))
         return None
--- a/dunlinnotch/coordination/core.py
+++ b/dunlinnotch/coordination/core.py
@@ -11,8 +11,8 @@
 from typing import TYPE_CHECKING
 
 from dunlinnotch._logs import event
+from dunlinnotch.coordination.budgets.probe_leases import LEASE_S, ProbeLeaseHolder
 from dunlinnotch.coordination.budgets.probes import ProbeBudget, probes_per_second
-from dunlinnotch.coordination.budgets.seats import LEASE_S, SeatHolder
 from dunlinnotch.coordination.choosing.directory import PoolDirectory
 from dunlinnotch.coordination.choosing.subset import highest
 from dunlinnotch.coordination.membership.rows import Membership
@@ -139,7 +139,7 @@
         self.gate = WorkGate(self.membership, self.holder, clock=clock)
         self.steering = Steering(self.membership, rng=rng)
         self.ledger = OnceLedger(clock=clock)
-        self.seat = SeatHolder(
+        self.seat = ProbeLeaseHolder(
             platform,
             box=self.name,
             incarnation=row.incarnation,
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -15,7 +15,7 @@
 
 import pytest
 
-from dunlinnotch.coordination.budgets import probes, seats
+from dunlinnotch.coordination.budgets import probe_leases, probes
 from dunlinnotch.coordination.budgets.shares import ProbeShare, RepeatShare
 from dunlinnotch.coordination.choosing.fresh_reports import FreshReportChooser
 from dunlinnotch.coordination.choosing.saturation import Saturation
@@ -446,8 +446,8 @@
     Mutant("accept a lower version", settings.SettingsFollower, "poll", _follow_blindly),
     Mutant("drain without waiting for callers", Drain, "start", _drain_at_once),
     Mutant("ignore that a target leaves", TargetRecord, "take_state", _never_leaving),
-    Mutant("skip the expiry of a lease", seats.SeatHolder, "held", _held_for_ever),
-    Mutant("take a seat before its lease lapsed", seats.SeatHolder, "_free", _always_free),
+    Mutant("skip the expiry of a lease", probe_leases.ProbeLeaseHolder, "held", _held_for_ever),
+    Mutant("take a lease before it expired", probe_leases.ProbeLeaseHolder, "_free", _always_free),
     Mutant("ignore the share of the budget", probes, "probes_per_second", _whole_budget),
     Mutant("forget once-keys", OnceLedger, "claim", _claim_always),
     Mutant(
--- a/tests/test_seats.py
+++ b/tests/test_probe_leases.py
@@ -2,8 +2,8 @@
 
 import pytest
 
+from dunlinnotch.coordination.budgets.probe_leases import ProbeLeaseHolder
 from dunlinnotch.coordination.budgets.probes import ProbeBudget, probes_per_second
-from dunlinnotch.coordination.budgets.seats import SeatHolder
 from dunlinnotch.standins.platform import PlatformFaults
 from dunlinnotch.state.schema import Settings
 from tests import FakeClock, FakePlatform
@@ -20,7 +20,7 @@
 
 
 def holder(platform, clock, name, incarnation=1):
-    return SeatHolder(platform, box=name, incarnation=incarnation, clock=clock, lease_s=60.0)
+    return ProbeLeaseHolder(platform, box=name, incarnation=incarnation, clock=clock, lease_s=60.0)
 
 
 def test_no_more_boxes_hold_seats_than_there_are(platform, clock):
--- a/tests/world.py
+++ b/tests/world.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field, replace
 
 from dunlinnotch import _codec
-from dunlinnotch.coordination.budgets.seats import SeatValue
+from dunlinnotch.coordination.budgets.probe_leases import ProbeLeaseValue
 from dunlinnotch.coordination.core import BoxCore, Timing
 from dunlinnotch.errors import PlatformUnavailableError
 from dunlinnotch.protocol.attempt import (
@@ -415,7 +415,7 @@
         core = self.boxes[name]
         lease = core.seat.lease
         row = self.store.rows[lease.key] if lease else None
-        value = _codec.from_json(SeatValue, row.value.encode()) if row else None
+        value = _codec.from_json(ProbeLeaseValue, row.value.encode()) if row else None
         own = (name, core.membership.own.incarnation)
         if value is None or (value.box, value.incarnation) != own:
             self.violations.append(f"{name} probed on the seat of {value}")
