--- a/benchmarks/goodput.py
+++ b/benchmarks/goodput.py
@@ -18,7 +18,7 @@
 from typing import TYPE_CHECKING
 
 from benchmarks._virtual import run_virtually
-from dunlinnotch.coordination.budgets.shares import ProbeShare, RepeatShare
+from dunlinnotch.coordination.budgets.shares import ProbeShare, RetryShare
 from dunlinnotch.coordination.choosing.fresh_reports import FreshReportChooser
 from dunlinnotch.coordination.choosing.selector import TargetSelector
 from dunlinnotch.coordination.choosing.work_times import WorkTimes
@@ -329,7 +329,7 @@
             chooser=chooser,
             times=times,
             selector=selector,
-            make_repeats=lambda: RepeatShare(ratio=0.2, slack=62, window=10, clock=clock),
+            make_repeats=lambda: RetryShare(ratio=0.2, slack=62, window=10, clock=clock),
             guard=CrashGuard(CrashLog(clock=clock), targets, tell=lambda _: None),
             targets=targets,
             observer=NoObserver(),
--- a/dunlinnotch/coordination/budgets/shares.py
+++ b/dunlinnotch/coordination/budgets/shares.py
@@ -80,7 +80,7 @@
             del self._buckets[target]
 
 
-class RepeatShare:
+class RetryShare:
     """The share of one box of the repeats that one service may get.
 
     Over each window, all boxes' repeats stay within ``ratio`` times the
--- a/dunlinnotch/coordination/requests/forward.py
+++ b/dunlinnotch/coordination/requests/forward.py
@@ -29,7 +29,7 @@
     import random
     from collections.abc import AsyncIterator, Callable
 
-    from dunlinnotch.coordination.budgets.shares import RepeatShare
+    from dunlinnotch.coordination.budgets.shares import RetryShare
     from dunlinnotch.coordination.choosing.fresh_reports import FreshReportChooser
     from dunlinnotch.coordination.choosing.selector import TargetSelector
     from dunlinnotch.coordination.choosing.waiting import Selection
@@ -95,7 +95,7 @@
         chooser: FreshReportChooser,
         times: WorkTimes,
         selector: TargetSelector,
-        make_repeats: Callable[[], RepeatShare],
+        make_repeats: Callable[[], RetryShare],
         guard: CrashGuard,
         targets: TargetPort,
         observer: ForwardObserver,
@@ -114,7 +114,7 @@
         self._observer = observer
         self._rng = rng
         self._loop = asyncio.get_running_loop()
-        self._repeats: dict[str, RepeatShare] = {}
+        self._repeats: dict[str, RetryShare] = {}
         self._points: dict[str, float] = {}
         self._first_tries = FirstTries()
         self._running: set[Run] = set()
@@ -131,7 +131,7 @@
             if run.scope is not None:
                 run.scope.reschedule(self._loop.time())
 
-    def repeats(self, service: str) -> RepeatShare:
+    def repeats(self, service: str) -> RetryShare:
         """Return the repeat budget of a service."""
         found = self._repeats.get(service)
         if found is None:
--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -12,7 +12,7 @@
 
 from dunlinnotch._clocks import elapsed
 from dunlinnotch._logs import event
-from dunlinnotch.coordination.budgets.shares import ProbeShare, RepeatShare
+from dunlinnotch.coordination.budgets.shares import ProbeShare, RetryShare
 from dunlinnotch.coordination.choosing.fresh_reports import FreshReportChooser
 from dunlinnotch.coordination.choosing.selector import TargetSelector
 from dunlinnotch.coordination.choosing.work_times import WorkTimes
@@ -371,9 +371,9 @@
             return
         await self.forwarder.serve(request, exchange.body(), exchange)
 
-    def _make_repeats(self) -> RepeatShare:
+    def _make_repeats(self) -> RetryShare:
         settings = self._settings
-        share = RepeatShare(
+        share = RetryShare(
             ratio=settings.repeat_ratio,
             slack=settings.repeat_slack,
             window=settings.repeat_window,
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -16,7 +16,7 @@
 import pytest
 
 from dunlinnotch.coordination.budgets import probe_leases, probes
-from dunlinnotch.coordination.budgets.shares import ProbeShare, RepeatShare
+from dunlinnotch.coordination.budgets.shares import ProbeShare, RetryShare
 from dunlinnotch.coordination.choosing.fresh_reports import FreshReportChooser
 from dunlinnotch.coordination.choosing.saturation import Saturation
 from dunlinnotch.coordination.choosing.selector import TargetSelector
@@ -379,7 +379,7 @@
         "tests/test_beliefs.py",
     ),
     Mutant("probe without a budget", ProbeShare, "take", _spend_freely, SHARES),
-    Mutant("repeat without a budget", RepeatShare, "take", _spend_freely, SHARES),
+    Mutant("repeat without a budget", RetryShare, "take", _spend_freely, SHARES),
     Mutant("leave the store to others", Mesh, "is_reader", _nobody_reads, "tests/test_mesh.py"),
     Mutant("tell no other place", Links, "far", _tell_nobody_far, LINKS),
     Mutant("take a word told on for a new one", BoxWord, "aged", _told_on_as_new, LINKS),
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from dunlinnotch.coordination.budgets.shares import ProbeShare, RepeatShare
+from dunlinnotch.coordination.budgets.shares import ProbeShare, RetryShare
 
 
 class Now:
@@ -62,7 +62,7 @@
 )
 def test_all_boxes_repeats_stay_within_the_budget_over_every_window(boxes, steps):
     clock = Now()
-    shares = [RepeatShare(ratio=0.2, slack=62.0, window=10.0, clock=clock) for _ in range(boxes)]
+    shares = [RetryShare(ratio=0.2, slack=62.0, window=10.0, clock=clock) for _ in range(boxes)]
     for share in shares:
         share.boxes = boxes
     requests, repeats = [], []
@@ -85,7 +85,7 @@
 
 def test_a_box_without_requests_has_its_part_of_the_slack():
     clock = Now()
-    share = RepeatShare(ratio=0.2, slack=62.0, window=10.0, clock=clock)
+    share = RetryShare(ratio=0.2, slack=62.0, window=10.0, clock=clock)
     share.boxes = 17
     assert sum(share.take() for _ in range(50)) == 3
     clock.now += 11.0
