--- a/dunlinnotch/coordination/choosing/fresh_reports.py
+++ b/dunlinnotch/coordination/choosing/fresh_reports.py
@@ -20,11 +20,11 @@
     from dunlinnotch.types import Seconds
 
 #: A report this young is as good as a new one, in seconds.
-FRESH_S = 0.012
+MAX_FRESH_AGE_S = 0.012
 #: A report says something of a target's speed for about this long, in seconds.
-USEFUL_S = 0.3
+MAX_REPORT_AGE_S = 0.3
 #: Expected time, as a multiple of an idle target's, up to which a target is taken at once.
-GOOD = 1.35
+MAX_GOOD_RATIO = 1.35
 #: Failures in a row after which a target is set aside.
 _ASIDE_AFTER = 2
 #: Shortest and longest time that a target is set aside, in seconds.
@@ -38,7 +38,7 @@
 _UNKNOWN = 6.0
 
 
-def expected_time(
+def expected_latency_ratio(
     instance: Instance, now: Seconds, *, place: str = "", slowed: float = 1.0
 ) -> float:
     """Return how long work would take at a target, as a multiple of the usual time.
@@ -58,23 +58,23 @@
         A target without a fresh report never looks good.
     """
     report = instance.report
-    if report is None or now - instance.reported_at > USEFUL_S:
+    if report is None or now - instance.reported_at > MAX_REPORT_AGE_S:
         return _UNKNOWN + instance.own
-    rounds = 1.0 + max(0.0, excess(instance))
+    rounds = 1.0 + max(0.0, overload(instance))
     cold = _COLD_FACTOR if now < instance.cold_until else 1.0
     ill = 1.0 if instance.well else _ILL_FACTOR
     away = _AWAY if place and instance.listed.place != place else 0.0
     return max(0.2, report.slowness) * slowed * rounds * cold * ill + away
 
 
-def excess(instance: Instance) -> float:
+def overload(instance: Instance) -> float:
     """Return the requests at a target beyond its slots, as a share of the slots."""
     if instance.report is None:
         return 0.0
-    return fill(instance) - 1.0
+    return utilisation(instance) - 1.0
 
 
-def fill(instance: Instance) -> float:
+def utilisation(instance: Instance) -> float:
     """Return the share of a target's slots in use with one more request."""
     slots = 1 if instance.report is None else max(1, instance.report.slots)
     return (instance.ahead + 1) / slots
@@ -125,41 +125,49 @@
             return 5
         if instance.lapsed_at is not None:
             return 4
-        heard = now - instance.reported_at < USEFUL_S
-        if heard and expected_time(instance, now, slowed=self._slowed(instance)) > GOOD:
+        heard = now - instance.reported_at < MAX_REPORT_AGE_S
+        if (
+            heard
+            and expected_latency_ratio(instance, now, slowed=self._slowed(instance))
+            > MAX_GOOD_RATIO
+        ):
             return 2 + away
         return int(away)
 
-    def expected(self, instance: Instance, now: Seconds) -> float:
+    def expected_ratio(self, instance: Instance, now: Seconds) -> float:
         """Return the expected time, the way to another place included."""
-        return expected_time(instance, now, place=self._place, slowed=self._slowed(instance))
+        return expected_latency_ratio(
+            instance, now, place=self._place, slowed=self._slowed(instance)
+        )
 
-    def good(self, instance: Instance, now: Seconds) -> bool:
+    def is_good(self, instance: Instance, now: Seconds) -> bool:
         """Return whether to send to a target without asking further ones."""
-        if excess(instance) > 0 or _is_out(instance, now):
+        if overload(instance) > 0 or _is_out(instance, now):
             return False
-        return expected_time(instance, now, slowed=self._slowed(instance)) <= GOOD
+        return (
+            expected_latency_ratio(instance, now, slowed=self._slowed(instance)) <= MAX_GOOD_RATIO
+        )
 
-    def is_full(self, instance: Instance) -> bool:
+    def is_saturated(self, instance: Instance) -> bool:
         """Return whether one more request would wait or be slowed down there."""
-        return excess(instance) > 0 or self._slowed(instance) > GOOD
+        return overload(instance) > 0 or self._slowed(instance) > MAX_GOOD_RATIO
 
-    def tries(self, instance: Instance, now: Seconds) -> bool:
+    def explores(self, instance: Instance, now: Seconds) -> bool:
         """Return whether to send to a target nearly full, to learn what that costs."""
-        if excess(instance) > 0 or _is_out(instance, now):
+        if overload(instance) > 0 or _is_out(instance, now):
             return False
-        if expected_time(instance, now) > GOOD:
+        if expected_latency_ratio(instance, now) > MAX_GOOD_RATIO:
             return False
-        part = self._times.part_to_try(instance.listed.service, fill(instance))
+        part = self._times.part_to_try(instance.listed.service, utilisation(instance))
         return self._rng.random() < part
 
     def _slowed(self, instance: Instance) -> float:
         if instance.ahead == 0:
             return 1.0
-        return self._times.slowed_by(instance.listed.service, fill(instance))
+        return self._times.slowed_by(instance.listed.service, utilisation(instance))
 
     @staticmethod
-    def failed(instance: Instance, now: Seconds) -> None:
+    def record_failure(instance: Instance, now: Seconds) -> None:
         """Note a failure; several in a row set the target aside for a while."""
         instance.failures += 1
         over = instance.failures - _ASIDE_AFTER
@@ -167,7 +175,7 @@
             shortest, longest = _ASIDE_S
             instance.aside_until = now + min(longest, shortest * 2**over)
 
-    def refused(self, instance: Instance, said: TargetStatus, now: Seconds) -> None:
+    def record_refusal(self, instance: Instance, said: TargetStatus, now: Seconds) -> None:
         """Note that a target turned a request away, and what it said with that.
 
         Notes
@@ -179,10 +187,10 @@
         """
         report = said.report
         if report is not None and report.running < report.slots and not said.rest:
-            self.failed(instance, now)
+            self.record_failure(instance, now)
 
     @staticmethod
-    def did_well(instance: Instance) -> None:
+    def record_success(instance: Instance) -> None:
         """Note an answer that was as it should be."""
         instance.failures = 0
         instance.aside_until = 0.0
--- a/dunlinnotch/coordination/choosing/selector.py
+++ b/dunlinnotch/coordination/choosing/selector.py
@@ -16,7 +16,11 @@
 from typing import TYPE_CHECKING
 
 from dunlinnotch._logs import event
-from dunlinnotch.coordination.choosing.fresh_reports import FRESH_S, USEFUL_S, excess
+from dunlinnotch.coordination.choosing.fresh_reports import (
+    MAX_FRESH_AGE_S,
+    MAX_REPORT_AGE_S,
+    overload,
+)
 from dunlinnotch.coordination.choosing.saturation import Saturation
 from dunlinnotch.coordination.choosing.waiting import Selection, ServiceQueue, Waiter
 from dunlinnotch.coordination.choosing.work_times import Start
@@ -170,7 +174,9 @@
         """Return a target that is good by a report of the last milliseconds."""
         now = self._loop.time()
         for instance in self._chooser.order(self._instances.of(service), now, exclude=tried):
-            if now - instance.reported_at < FRESH_S and self._chooser.good(instance, now):
+            if now - instance.reported_at < MAX_FRESH_AGE_S and self._chooser.is_good(
+                instance, now
+            ):
                 return self._pick(instance, None, "fresh")
         return None
 
@@ -207,7 +213,7 @@
 
     def _takes(self, instance: Instance) -> bool:
         now = self._loop.time()
-        return self._chooser.good(instance, now) or self._chooser.tries(instance, now)
+        return self._chooser.is_good(instance, now) or self._chooser.explores(instance, now)
 
     def _pick(self, instance: Instance, asked: Asked | None, why: str) -> Selection:
         now = self._loop.time()
@@ -218,7 +224,7 @@
             slowness=1.0 if report is None else report.slowness,
             report_age=now - instance.reported_at,
         )
-        pick = Selection(instance, asked, why, self._chooser.expected(instance, now), start)
+        pick = Selection(instance, asked, why, self._chooser.expected_ratio(instance, now), start)
         instance.sent_since_report += 1
         if why in ("good", "fresh"):
             self._queue(instance.listed.service).good_at = now
@@ -235,10 +241,10 @@
         order = [i for i in order if now >= i.aside_until] or order
         if not order:
             return None
-        best = min(order, key=lambda i: self._chooser.expected(i, now))
+        best = min(order, key=lambda i: self._chooser.expected_ratio(i, now))
         if not self._bearable(queue, best, most, now):
             return None
-        known = now - best.reported_at <= USEFUL_S
+        known = now - best.reported_at <= MAX_REPORT_AGE_S
         return self._pick(best, None, "best" if known else "unasked")
 
     def _bearable(
@@ -254,9 +260,9 @@
         """
         in_time, late = most
         limit = in_time if now - queue.good_at < _SLOW_FOR_S else late
-        if excess(instance) > 0 or self._chooser.expected(instance, now) > limit:
+        if overload(instance) > 0 or self._chooser.expected_ratio(instance, now) > limit:
             return False
-        return self._chooser.good(instance, now) or self._rng.random() < queue.saturation.room
+        return self._chooser.is_good(instance, now) or self._rng.random() < queue.saturation.room
 
     # -- asking
 
@@ -309,7 +315,7 @@
             queue.overdue.discard(instance)
         usable = self._take_answer(instance, asked)
         if usable:
-            queue.saturation.note(full=self._chooser.is_full(instance))
+            queue.saturation.note(full=self._chooser.is_saturated(instance))
         used = usable and self._offer(queue, instance, asked)
         if not used:
             self._targets.release(instance.address, asked)
@@ -326,7 +332,7 @@
         status = asked.status or TargetStatus()
         if asked.instance is None:
             self._take_wishes(instance, status)
-            self._chooser.failed(instance, self._loop.time())
+            self._chooser.record_failure(instance, self._loop.time())
             return False
         if asked.instance != instance.name:
             if self._instances.leave(instance.name):
--- a/dunlinnotch/coordination/requests/forward.py
+++ b/dunlinnotch/coordination/requests/forward.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING, Protocol
 
 from dunlinnotch._logs import event
-from dunlinnotch.coordination.choosing.fresh_reports import GOOD
+from dunlinnotch.coordination.choosing.fresh_reports import MAX_GOOD_RATIO
 from dunlinnotch.coordination.requests.bodies import HeldBody
 from dunlinnotch.coordination.requests.crash_guard import Suspect
 from dunlinnotch.coordination.requests.fingerprint import fingerprint
@@ -371,7 +371,7 @@
         if isinstance(end, NotSent):
             run.sends -= 1
             run.may_have_run = run.ran_before
-            self._chooser.failed(instance, now)
+            self._chooser.record_failure(instance, now)
             return Ending(Outcome.NOT_RUN, 503, end.reason, end.detail)
         if isinstance(end, NotRun):
             run.may_have_run = run.ran_before
@@ -379,11 +379,11 @@
                 self._instances.leave(instance.name)
                 event(_log, "target-replaced", instance=instance.name, target=instance.address)
             else:
-                self._chooser.refused(instance, run.tries[-1].said, now)
+                self._chooser.record_refusal(instance, run.tries[-1].said, now)
             detail = f"the target refused with status {end.status}"
             return Ending(Outcome.NOT_RUN, 503, Reason.TARGET_REFUSED, detail)
         if end.reason is not Reason.BODY_BROKEN:
-            self._chooser.failed(instance, now)
+            self._chooser.record_failure(instance, now)
             await self._look_for_end(run, instance)
         return Ending(Outcome.UNKNOWN, 502, end.reason, end.detail)
 
@@ -402,12 +402,12 @@
         try:
             whole = await answer.whole_within(_READ_FIRST)
             if failed:
-                self._chooser.failed(instance, self._loop.time())
+                self._chooser.record_failure(instance, self._loop.time())
                 if self._worth_repeating(run, kind):
                     detail = f"the target failed with status {head.status}"
                     return Ending(Outcome.UNKNOWN, 502, Reason.TARGET_BROKEN, detail)
             else:
-                self._chooser.did_well(instance)
+                self._chooser.record_success(instance)
             if whole is not None:
                 run.reply.reply(head.status, head.headers, whole, head.phrase)
             else:
@@ -421,7 +421,7 @@
                 self._times.note(kind.name, run.service, run.tries[-1].pick.start, took)
             return Ending(Outcome.ANSWERED, head.status)
         except BodyCutError as error:
-            self._chooser.failed(instance, self._loop.time())
+            self._chooser.record_failure(instance, self._loop.time())
             run.tries[-1].end = "cut"
             await self._look_for_end(run, instance)
             return Ending(Outcome.UNKNOWN, 502, Reason.TARGET_BROKEN, str(error))
@@ -448,7 +448,7 @@
             tried=run.tried,
             give_up=since + kind.target_latency * _WAIT_SHARE,
             first_try=run.first_try,
-            start_by=math.inf if usual is None else in_time - GOOD * usual,
+            start_by=math.inf if usual is None else in_time - MAX_GOOD_RATIO * usual,
             most=self._most_expected(in_time, usual),
             most_late=self._most_expected(late, usual),
         )
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -353,7 +353,13 @@
     Mutant(
         "hear no target say it leaves", InstanceList, "leave_for_good", _hear_no_leaving, LEAVING
     ),
-    Mutant("set no target aside that refuses", FreshReportChooser, "refused", _blame_nobody, REST),
+    Mutant(
+        "set no target aside that refuses",
+        FreshReportChooser,
+        "record_refusal",
+        _blame_nobody,
+        REST,
+    ),
     Mutant("try any number of targets", Forwarder, "_may_repeat", _any_number_of_tries, ENTRY),
     Mutant("give targets three seconds more", WorkerDialect, "request_headers", _more_time, ENTRY),
     Mutant("let no target leave", InstanceList, "_take_leaving", _leave_nothing, ENTRY),
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from dunlinnotch.coordination.choosing.fresh_reports import FRESH_S
+from dunlinnotch.coordination.choosing.fresh_reports import MAX_FRESH_AGE_S
 from dunlinnotch.standins.users.store import StoreFault
 from dunlinnotch.standins.users.worker import WorkerFault, WorkerSettings
 from dunlinnotch.transport.stream.link_pool import LinkPool
@@ -286,7 +286,9 @@
                     await call(box, "/lend/", f"r{number}", method="POST", body=b"x")
                 ).status == 200
             worker.settings.slowness = 4000
-            await asyncio.sleep(5 * FRESH_S)  # what the last answer told is outdated by then
+            await asyncio.sleep(
+                5 * MAX_FRESH_AGE_S
+            )  # what the last answer told is outdated by then
             late = await call(box, "/lend/", "hopeless", method="POST", body=b"x", deadline_ms=900)
             assert late.status == 503
             assert "retry-after" in late.headers
--- a/tests/test_fresh_reports.py
+++ b/tests/test_fresh_reports.py
@@ -7,10 +7,10 @@
 import pytest
 
 from dunlinnotch.coordination.choosing.fresh_reports import (
-    GOOD,
+    MAX_GOOD_RATIO,
     FreshReportChooser,
-    excess,
-    expected_time,
+    expected_latency_ratio,
+    overload,
 )
 from dunlinnotch.coordination.choosing.work_times import WorkTimes
 from dunlinnotch.state.instances import Instance, ListedTarget
@@ -42,22 +42,24 @@
 )
 def test_only_a_free_target_of_usual_speed_by_a_fresh_report_is_good(report, age, good):
     chooser = FreshReportChooser(place="hall-a", times=WorkTimes(), rng=random.Random(1))
-    assert chooser.good(target(report=report, age=age), NOW) is good
+    assert chooser.is_good(target(report=report, age=age), NOW) is good
 
 
 def test_own_requests_sent_since_the_report_count():
     instance = target(report=(2, 0, 3, 1.0))
-    before = expected_time(instance, NOW)
+    before = expected_latency_ratio(instance, NOW)
     instance.sent_since_report = 2
-    assert expected_time(instance, NOW) > before
-    assert excess(instance) == pytest.approx(2 / 3)
+    assert expected_latency_ratio(instance, NOW) > before
+    assert overload(instance) == pytest.approx(2 / 3)
 
 
 def test_a_target_that_says_it_is_ill_is_used_only_if_no_other_is_better():
     ill = target(report=(0, 0, 6, 1.0))
     ill.well = False
-    assert expected_time(ill, NOW) > GOOD
-    assert expected_time(ill, NOW) < expected_time(target(report=(0, 0, 6, 7.0)), NOW)
+    assert expected_latency_ratio(ill, NOW) > MAX_GOOD_RATIO
+    assert expected_latency_ratio(ill, NOW) < expected_latency_ratio(
+        target(report=(0, 0, 6, 7.0)), NOW
+    )
 
 
 def test_order_is_own_place_then_others_then_slow_then_aside():
@@ -66,7 +68,7 @@
     slow = target("slow", report=(0, 0, 6, 7.0))
     aside = target("aside")
     for _ in range(3):
-        chooser.failed(aside, NOW)
+        chooser.record_failure(aside, NOW)
     order = chooser.order([aside, slow, far, near], NOW, exclude=())
     assert [i.name for i in order] == ["near", "far", "slow", "aside"]
     assert [i.name for i in chooser.order([near, far], NOW, exclude={"near"})] == ["far"]
@@ -75,13 +77,13 @@
 def test_failures_set_aside_for_a_while_and_an_answer_ends_it():
     chooser = FreshReportChooser(place="hall-a", times=WorkTimes(), rng=random.Random(1))
     instance = target(report=(0, 0, 6, 1.0))
-    chooser.failed(instance, NOW)
-    assert chooser.good(instance, NOW)
-    chooser.failed(instance, NOW)
-    assert not chooser.good(instance, NOW)
+    chooser.record_failure(instance, NOW)
+    assert chooser.is_good(instance, NOW)
+    chooser.record_failure(instance, NOW)
+    assert not chooser.is_good(instance, NOW)
     assert instance.aside_until <= NOW + 4.0
-    chooser.did_well(instance)
-    assert chooser.good(instance, NOW)
+    chooser.record_success(instance)
+    assert chooser.is_good(instance, NOW)
 
 
 @pytest.mark.parametrize(
@@ -99,5 +101,5 @@
     chooser = FreshReportChooser(place="hall-a", times=WorkTimes(), rng=random.Random(1))
     instance = target()
     for _ in range(2):
-        chooser.refused(instance, said, NOW)
+        chooser.record_refusal(instance, said, NOW)
     assert (instance.aside_until > NOW) is aside
