--- a/dunlinnotch/coordination/choosing/selector.py
+++ b/dunlinnotch/coordination/choosing/selector.py
@@ -88,7 +88,7 @@
         self._queues: dict[str, ServiceQueue] = {}
         self._arrivals = 0
         #: Times that a target has asked this box for rest.
-        self.rests_asked = 0
+        self.backoffs_requested = 0
 
     async def choose(
         self,
@@ -96,11 +96,11 @@
         *,
         rank: int,
         tried: Collection[str],
-        give_up: Seconds,
-        first_try: Seconds = 0.0,
+        queue_deadline: Seconds,
+        first_attempt_at: Seconds = 0.0,
         start_by: Seconds = math.inf,
-        most: float = math.inf,
-        most_late: float = math.inf,
+        max_ratio: float = math.inf,
+        max_ratio_late: float = math.inf,
     ) -> Selection | None:
         """Return a target for one request, or None if there is none in time.
 
@@ -111,34 +111,36 @@
             0 is the most urgent.
         tried : collection of str
             Targets that the request has been sent to.
-        give_up : float
+        queue_deadline : float
             Monotonic seconds until which a good target is waited for.
-        first_try : float, optional
+        first_attempt_at : float, optional
             Monotonic seconds at which the caller first asked.
         start_by : float, optional
             Monotonic seconds up to which a start at a good target ends in time.
-        most : float, optional
+        max_ratio : float, optional
             Greatest expected time, as a multiple of the usual one, at which the
             request still ends within its target latency.
-        most_late : float, optional
+        max_ratio_late : float, optional
             The same for an end within its timeout; it counts where no target of the
             service has been good for a while.
         """
         if all(i.name in tried for i in self._instances.of(service)):
             tried = ()
-        rest = self.rest_left(service)
-        if rest and self._loop.time() + rest > give_up:
+        rest = self.backoff_left(service)
+        if rest and self._loop.time() + rest > queue_deadline:
             return None
         queue = self._queue(service)
         pick = None if queue.waiters else self._known_good(service, tried)
         if pick is None:
             self._arrivals += 1
             picked = self._loop.create_future()
-            waiter = Waiter(rank, self._arrivals, tried, give_up, first_try, start_by, picked)
+            waiter = Waiter(
+                rank, self._arrivals, tried, queue_deadline, first_attempt_at, start_by, picked
+            )
             pick = await self._wait(queue, waiter)
         if pick is not None:
             return pick
-        return self._last_chance(queue, tried, (most, most_late))
+        return self._last_chance(queue, tried, (max_ratio, max_ratio_late))
 
     def release(self, pick: Selection) -> None:
         """Give back a target that is not used."""
@@ -147,7 +149,7 @@
         if pick.asked is not None:
             self._targets.release(instance.address, pick.asked)
 
-    def heard(self, instance: Instance, status: TargetStatus) -> None:
+    def record_status(self, instance: Instance, status: TargetStatus) -> None:
         """Take in what a target said with an answer; who waits may use it."""
         self._take_wishes(instance, status)
         if status.report is None or instance.replaced:
@@ -157,7 +159,7 @@
         if queue is not None:
             self._offer(queue, instance, None)
 
-    def rest_left(self, service: str) -> Seconds:
+    def backoff_left(self, service: str) -> Seconds:
         """Return for how long no target of a service wants anything; 0 if one does."""
         return self._instances.rest_left(service, self._loop.time())
 
@@ -374,10 +376,10 @@
         # this, the next request went to it after 0.3 s (median, 72 pairs of box and target).
         now = self._loop.time()
         self._instances.rest(instance, now + rest)
-        left = self.rest_left(instance.listed.service)
+        left = self.backoff_left(instance.listed.service)
         if left:
             self._queue(instance.listed.service).refuse_before(now + left)
-        self.rests_asked += 1
+        self.backoffs_requested += 1
         event(
             self._log,
             "target-asks-rest",
--- a/dunlinnotch/coordination/requests/forward.py
+++ b/dunlinnotch/coordination/requests/forward.py
@@ -255,7 +255,7 @@
         """Return after how long a refused caller may come back."""
         if ending.retry_after is not None:
             return ending.retry_after
-        rest = self._selector.rest_left(run.service)
+        rest = self._selector.backoff_left(run.service)
         unknowing = ending.reason in (Reason.NO_SETTINGS, Reason.CATCHING_UP)
         wait = _COME_BACK_UNKNOWING_S if unknowing else _COME_BACK_S
         if run.kind is not None:
@@ -316,7 +316,7 @@
         if not self._instances.of(service):
             detail = f"service {service!r} has no target"
             return Ending(Outcome.NOT_RUN, 503, Reason.NO_TARGET, detail)
-        if self._selector.rest_left(service):
+        if self._selector.backoff_left(service):
             detail = f"all targets of service {service!r} want rest"
             return Ending(Outcome.NOT_RUN, 503, Reason.TARGETS_RESTING, detail)
         return Ending(Outcome.NOT_RUN, 503, Reason.QUEUE_FULL, "no target is free in time")
@@ -360,7 +360,7 @@
     def _hear(self, trial: Try, status: TargetStatus) -> None:
         """Take in what a target says of itself beside its answer."""
         trial.said = status
-        self._selector.heard(trial.pick.instance, status)
+        self._selector.record_status(trial.pick.instance, status)
 
     async def _settle(
         self, run: Run, kind: RequestKind, instance: Instance, end: AttemptEnd
@@ -446,11 +446,11 @@
             service,
             rank=kind.rank,
             tried=run.tried,
-            give_up=since + kind.target_latency * _WAIT_SHARE,
-            first_try=run.first_try,
+            queue_deadline=since + kind.target_latency * _WAIT_SHARE,
+            first_attempt_at=run.first_try,
             start_by=math.inf if usual is None else in_time - MAX_GOOD_RATIO * usual,
-            most=self._most_expected(in_time, usual),
-            most_late=self._most_expected(late, usual),
+            max_ratio=self._most_expected(in_time, usual),
+            max_ratio_late=self._most_expected(late, usual),
         )
 
     def _most_expected(self, until: Seconds, usual: Seconds | None) -> float:
--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -412,7 +412,7 @@
             "probes_denied_total": float(self.probes.denied),
             "connections_opened_total": float(self._targets.opened),
             "entries_unreadable_total": float(self._listed.unreadable + self.routes.unreadable),
-            "rests_asked_total": float(self.selector.rests_asked),
+            "rests_asked_total": float(self.selector.backoffs_requested),
             "targets_ended_total": float(self._crash_guard.targets_ended),
             "requests_barred": float(self.crashes.barred),
             "store_calls_total": float(self._adapter.store_calls()),
--- a/tests/test_selector.py
+++ b/tests/test_selector.py
@@ -60,7 +60,7 @@
             # What was heard before is as good as forgotten.
             for instance in instances.all():
                 instance.reported_at = instance.asked_at = -1e9
-            picks.append(await selector.choose("s", rank=0, tried=(), give_up=0.0, **limits))
+            picks.append(await selector.choose("s", rank=0, tried=(), queue_deadline=0.0, **limits))
         return [pick and (pick.instance.name, pick.why) for pick in picks], targets.asked
 
     return asyncio.run(bounded())
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize(
-    ("running", "slowness", "most", "taken"),
+    ("running", "slowness", "max_ratio", "taken"),
     [
         (2, 1.0, 3.0, True),
         (2, 1.0, 1.5, False),
@@ -107,7 +107,7 @@
     ],
 )
 def test_what_is_not_good_is_taken_only_where_a_slot_is_free_and_the_end_in_time(
-    running, slowness, most, taken
+    running, slowness, max_ratio, taken
 ):
     """ikenga-gate-grown scale-2: everybody waited at targets, so nobody was in time."""
     picks, _ = seek(
@@ -116,7 +116,7 @@
         times=1,
         slowness={"near-0": slowness},
         running=running,
-        most_late=most,
+        max_ratio_late=max_ratio,
     )
     assert (picks[0] is not None) is taken
 
@@ -124,7 +124,7 @@
 def test_a_service_found_full_gets_only_what_starts_fast(monkeypatch):
     """wusta-listings scale-2: full targets work 1.7 times longer and stayed full for good."""
     monkeypatch.setattr(WorkTimes, "part_to_try", lambda self, service, fill: 0.0)
-    picks, _ = seek(NEAR, probes_per_s=6000.0, times=40, running=2, most=9.0)
+    picks, _ = seek(NEAR, probes_per_s=6000.0, times=40, running=2, max_ratio=9.0)
     assert [why for _, why in picks[:2]] == ["best"] * 2
     assert picks[-10:] == [None] * 10
 
@@ -132,7 +132,13 @@
 def test_a_nearly_full_target_is_tried_now_and_then_to_learn_what_that_costs(monkeypatch):
     """bbd-gateway: what nobody tried was taken to be slow for good."""
     monkeypatch.setattr(WorkTimes, "part_to_try", lambda self, service, fill: 0.5)
-    enough = {"probes_per_s": 6000.0, "times": 20, "running": 2, "most": 0.0, "most_late": 0.0}
+    enough = {
+        "probes_per_s": 6000.0,
+        "times": 20,
+        "running": 2,
+        "max_ratio": 0.0,
+        "max_ratio_late": 0.0,
+    }
     picks, _ = seek(NEAR, **enough)
     assert [why for _, why in filter(None, picks)].count("good") > 5
     slow = {name: 7.0 for _, name in NEAR}
@@ -212,7 +218,9 @@
 
         def choose(rank=0, tried=(), wait=20.0):
             give_up = loop.time() + wait
-            work = selector.choose("s", rank=rank, tried=tried, give_up=give_up, most=1.0)
+            work = selector.choose(
+                "s", rank=rank, tried=tried, queue_deadline=give_up, max_ratio=1.0
+            )
             return asyncio.ensure_future(work)
 
         await act(selector, instances, targets, choose)
@@ -261,7 +269,7 @@
         await turns()
         (instance,) = instances.of("s")
         # One of three slots is taken; a third one would be slow.
-        selector.heard(instance, TargetStatus(TargetReport(1, 0, 3)))
+        selector.record_status(instance, TargetStatus(TargetReport(1, 0, 3)))
         await turns()
         assert [task.done() for task in waiting] == [True, False, False]
         assert waiting[0].result().why == "fresh"
@@ -324,7 +332,7 @@
     async def act(selector, instances, targets, choose):
         waiting = choose()
         await turns()
-        selector.heard(instances.find("t-0"), REST)
+        selector.record_status(instances.find("t-0"), REST)
         await turns()
         assert not waiting.done()
         # A probe answered before does not speak for it any more.
@@ -341,26 +349,26 @@
     async def act(selector, instances, targets, choose):
         waiting = [choose(), choose(rank=2)]
         await turns()
-        selector.heard(instances.find("t-0"), REST)
+        selector.record_status(instances.find("t-0"), REST)
         await turns()
         assert not any(task.done() for task in waiting)
-        selector.heard(instances.find("t-1"), REST)
+        selector.record_status(instances.find("t-1"), REST)
         assert await asyncio.gather(*waiting) == [None, None]
         assert await choose() is None
-        assert 29 < selector.rest_left("s") <= 30
+        assert 29 < selector.backoff_left("s") <= 30
 
     queued([("hall-a", "t-0"), ("hall-a", "t-1")], act)
 
 
 def test_a_rest_that_ends_in_time_is_waited_for():
     async def act(selector, instances, targets, choose):
-        selector.heard(instances.find("t-0"), SHORT_REST)
+        selector.record_status(instances.find("t-0"), SHORT_REST)
         waiting = choose()
         await turns()
         assert not targets.asked
         while not targets.asked:
             await asyncio.sleep(0.001)
-        assert selector.rest_left("s") == 0.0
+        assert selector.backoff_left("s") == 0.0
         targets.answer("t-0")
         assert (await waiting).instance.name == "t-0"
 
@@ -373,6 +381,6 @@
         await turns()
         targets.waiting.pop("t-0").set_result(Asked("t-0", well=False, status=REST))
         assert await waiting is None
-        assert selector.rest_left("s") > 29
+        assert selector.backoff_left("s") > 29
 
     queued([("hall-a", "t-0")], act)
