--- a/dunlinnotch/coordination/choosing/selector.py
+++ b/dunlinnotch/coordination/choosing/selector.py
@@ -23,7 +23,7 @@
 )
 from dunlinnotch.coordination.choosing.saturation import Saturation
 from dunlinnotch.coordination.choosing.waiting import Selection, ServiceQueue, Waiter
-from dunlinnotch.coordination.choosing.work_times import Start
+from dunlinnotch.coordination.choosing.work_times import LoadAtSend
 from dunlinnotch.protocol.relay import Asked
 from dunlinnotch.state.target_status import TargetReport, TargetStatus
 
@@ -146,8 +146,8 @@
         """Give back a target that is not used."""
         instance = pick.instance
         instance.sent_since_report = max(0, instance.sent_since_report - 1)
-        if pick.asked is not None:
-            self._targets.release(instance.address, pick.asked)
+        if pick.probe is not None:
+            self._targets.release(instance.address, pick.probe)
 
     def record_status(self, instance: Instance, status: TargetStatus) -> None:
         """Take in what a target said with an answer; who waits may use it."""
@@ -220,10 +220,10 @@
     def _pick(self, instance: Instance, asked: Asked | None, why: str) -> Selection:
         now = self._loop.time()
         report = instance.report
-        start = Start(
-            ahead=instance.ahead,
+        start = LoadAtSend(
+            queued_ahead=instance.ahead,
             slots=max(1, instance.listed.slots if report is None else report.slots),
-            slowness=1.0 if report is None else report.slowness,
+            latency_ratio=1.0 if report is None else report.slowness,
             report_age=now - instance.reported_at,
         )
         pick = Selection(instance, asked, why, self._chooser.expected_ratio(instance, now), start)
--- a/dunlinnotch/coordination/choosing/waiting.py
+++ b/dunlinnotch/coordination/choosing/waiting.py
@@ -11,7 +11,7 @@
     from collections.abc import Collection
 
     from dunlinnotch.coordination.choosing.saturation import Saturation
-    from dunlinnotch.coordination.choosing.work_times import Start
+    from dunlinnotch.coordination.choosing.work_times import LoadAtSend
     from dunlinnotch.protocol.relay import Asked
     from dunlinnotch.state.instances import Instance
     from dunlinnotch.types import Seconds
@@ -30,21 +30,21 @@
     Parameters
     ----------
     instance : Instance
-    asked : Asked or None
+    probe : Asked or None
         The probe that spoke for it, with its connection.
-    why : str
+    reason : str
         ``good`` by a probe just answered, ``fresh`` by a report that came otherwise,
         ``best`` of what is known where none was good in time, ``unasked`` if nothing is.
-    expected : float
+    expected_ratio : float
         Expected time, as a multiple of the usual one.
-    start : Start
+    load_at_send : LoadAtSend
     """
 
     instance: Instance
-    asked: Asked | None
-    why: str
-    expected: float
-    start: Start
+    probe: Asked | None
+    reason: str
+    expected_ratio: float
+    load_at_send: LoadAtSend
 
 
 @dataclass(slots=True, eq=False)
--- a/dunlinnotch/coordination/choosing/work_times.py
+++ b/dunlinnotch/coordination/choosing/work_times.py
@@ -75,36 +75,36 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Start:
+class LoadAtSend:
     """What was known of a target when a request was sent there.
 
     Parameters
     ----------
-    ahead, slots : int
+    queued_ahead, slots : int
         Requests there before it, and slots.
-    slowness : float
+    latency_ratio : float
         How long work took there; 1 is usual.
     report_age : float
         Age of the report that told it, in seconds.
     """
 
-    ahead: int
+    queued_ahead: int
     slots: int
-    slowness: float
+    latency_ratio: float
     report_age: Seconds
 
     @property
-    def fill(self) -> float:
+    def utilisation(self) -> float:
         """Share of the slots in use once the request is there."""
-        return (self.ahead + 1) / self.slots
+        return (self.queued_ahead + 1) / self.slots
 
     @property
-    def certain(self) -> bool:
+    def is_informative(self) -> bool:
         """Whether its answer tells of fullness alone."""
         return (
             self.report_age <= _YOUNG_S
-            and self.slowness <= _USUAL_SLOWNESS
-            and self.ahead < self.slots
+            and self.latency_ratio <= _USUAL_SLOWNESS
+            and self.queued_ahead < self.slots
         )
 
 
@@ -138,28 +138,28 @@
         known = 0 if found is None else found.answers
         return max(_TRY_KNOWN, 1 / (1 / _TRY_UNKNOWN + known))
 
-    def note(self, kind: str, service: str, start: Start, took: Seconds) -> None:
+    def note(self, kind: str, service: str, start: LoadAtSend, took: Seconds) -> None:
         """Learn from one answer.
 
         Parameters
         ----------
         kind, service : str
-        start : Start
+        start : LoadAtSend
         took : float
             Seconds from sending the request to its answer.
         """
-        if not start.certain:
+        if not start.is_informative:
             return
-        if start.fill <= _FREE_UP_TO or start.ahead == 0:
+        if start.utilisation <= _FREE_UP_TO or start.queued_ahead == 0:
             self._usual.setdefault(kind, _Mean(took, 0)).take(took)
             return
         usual = self.usual(kind)
         if not usual:
             return
-        key = (service, _step(start.fill))
+        key = (service, _step(start.utilisation))
         found = self._slowed.get(key)
         if found is None:
-            found = self._slowed[key] = _Slowed.prior(_prior(start.fill), usual)
+            found = self._slowed[key] = _Slowed.prior(_prior(start.utilisation), usual)
         found.take(min(took, _RATIO_MOST * usual), usual)
 
 
--- a/dunlinnotch/coordination/requests/forward.py
+++ b/dunlinnotch/coordination/requests/forward.py
@@ -346,7 +346,7 @@
                 instance=instance.name,
                 still=lambda: self._still(run, pick),
                 said=lambda status: self._hear(trial, status),
-                asked=pick.asked,
+                asked=pick.probe,
                 once=not kind.repeatable,
             )
             trial.end = type(end).__name__
@@ -418,7 +418,7 @@
             if not failed:
                 # Failures are mostly fast, and would make the usual time seem short.
                 took = self._loop.time() - run.tries[-1].began
-                self._times.note(kind.name, run.service, run.tries[-1].pick.start, took)
+                self._times.note(kind.name, run.service, run.tries[-1].pick.load_at_send, took)
             return Ending(Outcome.ANSWERED, head.status)
         except BodyCutError as error:
             self._chooser.record_failure(instance, self._loop.time())
--- a/dunlinnotch/coordination/requests/run.py
+++ b/dunlinnotch/coordination/requests/run.py
@@ -72,11 +72,11 @@
         """Return what the log tells of it; ``began_ms`` counts from the request's arrival."""
         return {
             "target": self.pick.instance.name,
-            "why": self.pick.why,
-            "expected": round(self.pick.expected, 2),
-            "ahead": self.pick.start.ahead,
-            "slowness": self.pick.start.slowness,
-            "report_age_ms": round(self.pick.start.report_age * 1000),
+            "why": self.pick.reason,
+            "expected": round(self.pick.expected_ratio, 2),
+            "ahead": self.pick.load_at_send.queued_ahead,
+            "slowness": self.pick.load_at_send.latency_ratio,
+            "report_age_ms": round(self.pick.load_at_send.report_age * 1000),
             "began_ms": round((self.began - arrived) * 1000, 1),
             "took_ms": round(self.took * 1000, 1),
             "end": self.end,
--- a/tests/test_selector.py
+++ b/tests/test_selector.py
@@ -61,7 +61,7 @@
             for instance in instances.all():
                 instance.reported_at = instance.asked_at = -1e9
             picks.append(await selector.choose("s", rank=0, tried=(), queue_deadline=0.0, **limits))
-        return [pick and (pick.instance.name, pick.why) for pick in picks], targets.asked
+        return [pick and (pick.instance.name, pick.reason) for pick in picks], targets.asked
 
     return asyncio.run(bounded())
 
@@ -151,11 +151,11 @@
         found = choose()
         await turns()
         targets.answer("t-0")
-        assert (await found).why == "good"
+        assert (await found).reason == "good"
         # It is slow now, but was good just before: come back rather than be late.
         assert await answered_slowly(instances, targets, choose) is None
         tries = [await answered_slowly(instances, targets, choose) for _ in range(60)]
-        assert [pick.why for pick in filter(None, tries)][-1:] == ["best"]
+        assert [pick.reason for pick in filter(None, tries)][-1:] == ["best"]
 
     queued([("hall-a", "t-0")], act)
 
@@ -272,7 +272,7 @@
         selector.record_status(instance, TargetStatus(TargetReport(1, 0, 3)))
         await turns()
         assert [task.done() for task in waiting] == [True, False, False]
-        assert waiting[0].result().why == "fresh"
+        assert waiting[0].result().reason == "fresh"
         for task in waiting[1:]:
             task.cancel()
 
--- a/tests/test_work_times.py
+++ b/tests/test_work_times.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from dunlinnotch.coordination.choosing.work_times import Start, WorkTimes
+from dunlinnotch.coordination.choosing.work_times import LoadAtSend, WorkTimes
 
 WORK_S = 0.2
 
@@ -16,8 +16,8 @@
     rng = random.Random(seed)
     times = WorkTimes()
     for _ in range(answers):
-        start = Start(rng.randrange(slots), slots, slowness=1.0, report_age=0.001)
-        took = WORK_S * rng.uniform(0.6, 1.4) * slowed(start.fill)
+        start = LoadAtSend(rng.randrange(slots), slots, latency_ratio=1.0, report_age=0.001)
+        took = WORK_S * rng.uniform(0.6, 1.4) * slowed(start.utilisation)
         times.note("read", "records", start, took)
     return times
 
@@ -61,9 +61,9 @@
     """ikenga-gate: checks of 2 ms among work of 60 ms made full targets look fast."""
     times = learnt(6, late)
     for _ in range(100):
-        times.note("ping", "records", Start(0, 6, 1.0, 0.001), 0.002)
-        times.note("ping", "records", Start(5, 6, 1.0, 0.001), 0.002)
-        times.note("read", "records", Start(5, 6, 1.0, 0.001), WORK_S * 1.7)
+        times.note("ping", "records", LoadAtSend(0, 6, 1.0, 0.001), 0.002)
+        times.note("ping", "records", LoadAtSend(5, 6, 1.0, 0.001), 0.002)
+        times.note("read", "records", LoadAtSend(5, 6, 1.0, 0.001), WORK_S * 1.7)
     assert times.slowed_by("records", 1.0) == pytest.approx(1.7, rel=0.1)
 
 
@@ -76,16 +76,16 @@
 def test_a_change_of_the_targets_is_followed():
     times = learnt(6, never)
     for _ in range(60):
-        times.note("read", "records", Start(5, 6, 1.0, 0.001), WORK_S * 2)
+        times.note("read", "records", LoadAtSend(5, 6, 1.0, 0.001), WORK_S * 2)
     assert times.slowed_by("records", 1.0) > 1.7
 
 
 @pytest.mark.parametrize(
     "start",
     [
-        Start(5, 6, slowness=7.0, report_age=0.001),
-        Start(5, 6, slowness=1.0, report_age=0.2),
-        Start(8, 6, slowness=1.0, report_age=0.001),
+        LoadAtSend(5, 6, latency_ratio=7.0, report_age=0.001),
+        LoadAtSend(5, 6, latency_ratio=1.0, report_age=0.2),
+        LoadAtSend(8, 6, latency_ratio=1.0, report_age=0.001),
     ],
 )
 def test_nothing_is_learnt_where_something_else_may_have_taken_the_time(start):
