--- a/benchmarks/goodput.py
+++ b/benchmarks/goodput.py
@@ -20,8 +20,8 @@
 from benchmarks._virtual import run_virtually
 from dunlinnotch.coordination.budgets.shares import ProbeShare, RetryShare
 from dunlinnotch.coordination.choosing.fresh_reports import FreshReportChooser
+from dunlinnotch.coordination.choosing.latency_model import LatencyModel
 from dunlinnotch.coordination.choosing.selector import TargetSelector
-from dunlinnotch.coordination.choosing.work_times import WorkTimes
 from dunlinnotch.coordination.requests.crash_guard import CrashGuard
 from dunlinnotch.coordination.requests.forward import Forwarder
 from dunlinnotch.protocol.outcome import Reason
@@ -308,8 +308,8 @@
             instances.take(listed, 0.0)
         probes = ProbeShare(_PROBES_PER_S, clock=clock)
         probes.boxes = BOXES
-        times = WorkTimes()
-        chooser = FreshReportChooser(place=place, times=times, rng=rng)
+        times = LatencyModel()
+        chooser = FreshReportChooser(place=place, latency_model=times, rng=rng)
         targets = ModelTargets(self._targets)
         selector = TargetSelector(
             instances=instances,
--- a/dunlinnotch/coordination/choosing/fresh_reports.py
+++ b/dunlinnotch/coordination/choosing/fresh_reports.py
@@ -14,7 +14,7 @@
     import random
     from collections.abc import Collection, Iterable
 
-    from dunlinnotch.coordination.choosing.work_times import WorkTimes
+    from dunlinnotch.coordination.choosing.latency_model import LatencyModel
     from dunlinnotch.state.instances import Instance
     from dunlinnotch.state.target_status import TargetStatus
     from dunlinnotch.types import Seconds
@@ -92,14 +92,14 @@
     ----------
     place : str
         The box's own.
-    times : WorkTimes
+    latency_model : LatencyModel
         What was learnt of how long work takes.
     rng : random.Random
     """
 
-    def __init__(self, *, place: str, times: WorkTimes, rng: random.Random) -> None:
+    def __init__(self, *, place: str, latency_model: LatencyModel, rng: random.Random) -> None:
         self._place = place
-        self._times = times
+        self._latency_model = latency_model
         self._rng = rng
 
     def order(
@@ -158,13 +158,13 @@
             return False
         if expected_latency_ratio(instance, now) > MAX_GOOD_RATIO:
             return False
-        part = self._times.part_to_try(instance.listed.service, utilisation(instance))
+        part = self._latency_model.exploration_share(instance.listed.service, utilisation(instance))
         return self._rng.random() < part
 
     def _slowed(self, instance: Instance) -> float:
         if instance.ahead == 0:
             return 1.0
-        return self._times.slowed_by(instance.listed.service, utilisation(instance))
+        return self._latency_model.slowdown(instance.listed.service, utilisation(instance))
 
     @staticmethod
     def record_failure(instance: Instance, now: Seconds) -> None:
--- a/dunlinnotch/coordination/choosing/work_times.py
+++ b/dunlinnotch/coordination/choosing/latency_model.py
@@ -108,19 +108,19 @@
         )
 
 
-class WorkTimes:
+class LatencyModel:
     """The usual time of each kind of request, and what fullness adds in each service."""
 
     def __init__(self) -> None:
         self._usual: dict[str, _Mean] = {}
         self._slowed: dict[tuple[str, int], _Slowed] = {}
 
-    def usual(self, kind: str) -> Seconds | None:
+    def usual_latency(self, kind: str) -> Seconds | None:
         """Return how long a kind takes at a target with free slots; None if not known."""
         found = self._usual.get(kind)
         return None if found is None else found.value
 
-    def slowed_by(self, service: str, fill: float) -> float:
+    def slowdown(self, service: str, fill: float) -> float:
         """Return how many times longer work takes that starts at a target so full.
 
         Parameters
@@ -132,13 +132,13 @@
         found = self._slowed.get((service, _step(fill)))
         return _prior(fill) if found is None else found.factor
 
-    def part_to_try(self, service: str, fill: float) -> float:
+    def exploration_share(self, service: str, fill: float) -> float:
         """Return which part of the requests is to try a fullness taken to be slow."""
         found = self._slowed.get((service, _step(fill)))
         known = 0 if found is None else found.answers
         return max(_TRY_KNOWN, 1 / (1 / _TRY_UNKNOWN + known))
 
-    def note(self, kind: str, service: str, start: LoadAtSend, took: Seconds) -> None:
+    def record(self, kind: str, service: str, start: LoadAtSend, took: Seconds) -> None:
         """Learn from one answer.
 
         Parameters
@@ -153,7 +153,7 @@
         if start.utilisation <= _FREE_UP_TO or start.queued_ahead == 0:
             self._usual.setdefault(kind, _Mean(took, 0)).take(took)
             return
-        usual = self.usual(kind)
+        usual = self.usual_latency(kind)
         if not usual:
             return
         key = (service, _step(start.utilisation))
--- a/dunlinnotch/coordination/choosing/selector.py
+++ b/dunlinnotch/coordination/choosing/selector.py
@@ -21,9 +21,9 @@
     MAX_REPORT_AGE_S,
     overload,
 )
+from dunlinnotch.coordination.choosing.latency_model import LoadAtSend
 from dunlinnotch.coordination.choosing.saturation import Saturation
 from dunlinnotch.coordination.choosing.waiting import Selection, ServiceQueue, Waiter
-from dunlinnotch.coordination.choosing.work_times import LoadAtSend
 from dunlinnotch.protocol.relay import Asked
 from dunlinnotch.state.target_status import TargetReport, TargetStatus
 
--- a/dunlinnotch/coordination/choosing/waiting.py
+++ b/dunlinnotch/coordination/choosing/waiting.py
@@ -10,8 +10,8 @@
     import asyncio
     from collections.abc import Collection
 
+    from dunlinnotch.coordination.choosing.latency_model import LoadAtSend
     from dunlinnotch.coordination.choosing.saturation import Saturation
-    from dunlinnotch.coordination.choosing.work_times import LoadAtSend
     from dunlinnotch.protocol.relay import Asked
     from dunlinnotch.state.instances import Instance
     from dunlinnotch.types import Seconds
--- a/dunlinnotch/coordination/requests/forward.py
+++ b/dunlinnotch/coordination/requests/forward.py
@@ -31,9 +31,9 @@
 
     from dunlinnotch.coordination.budgets.shares import RetryShare
     from dunlinnotch.coordination.choosing.fresh_reports import FreshReportChooser
+    from dunlinnotch.coordination.choosing.latency_model import LatencyModel
     from dunlinnotch.coordination.choosing.selector import TargetSelector
     from dunlinnotch.coordination.choosing.waiting import Selection
-    from dunlinnotch.coordination.choosing.work_times import WorkTimes
     from dunlinnotch.coordination.requests.crash_guard import CrashGuard
     from dunlinnotch.protocol.relay import AttemptEnd, CallerRequest, ReplyPort, TargetPort
     from dunlinnotch.state.instances import Instance, InstanceList
@@ -75,7 +75,7 @@
         Returns whether the box stood still and does not know yet what has changed.
     instances : InstanceList
     chooser : FreshReportChooser
-    times : WorkTimes
+    times : LatencyModel
     selector : TargetSelector
     make_repeats : callable
         Makes the repeat budget of a service.
@@ -93,7 +93,7 @@
         catching_up: Callable[[], bool],
         instances: InstanceList,
         chooser: FreshReportChooser,
-        times: WorkTimes,
+        times: LatencyModel,
         selector: TargetSelector,
         make_repeats: Callable[[], RetryShare],
         guard: CrashGuard,
@@ -418,7 +418,7 @@
             if not failed:
                 # Failures are mostly fast, and would make the usual time seem short.
                 took = self._loop.time() - run.tries[-1].began
-                self._times.note(kind.name, run.service, run.tries[-1].pick.load_at_send, took)
+                self._times.record(kind.name, run.service, run.tries[-1].pick.load_at_send, took)
             return Ending(Outcome.ANSWERED, head.status)
         except BodyCutError as error:
             self._chooser.record_failure(instance, self._loop.time())
@@ -441,7 +441,7 @@
         # What counts for a caller is the time since it first asked, not since it came back.
         in_time = min(run.request.deadline, run.first_try + kind.target_latency)
         late = min(run.request.deadline, run.request.arrived + kind.timeout)
-        usual = self._times.usual(kind.name)
+        usual = self._times.usual_latency(kind.name)
         return await self._selector.choose(
             service,
             rank=kind.rank,
--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -14,8 +14,8 @@
 from dunlinnotch._logs import event
 from dunlinnotch.coordination.budgets.shares import ProbeShare, RetryShare
 from dunlinnotch.coordination.choosing.fresh_reports import FreshReportChooser
+from dunlinnotch.coordination.choosing.latency_model import LatencyModel
 from dunlinnotch.coordination.choosing.selector import TargetSelector
-from dunlinnotch.coordination.choosing.work_times import WorkTimes
 from dunlinnotch.coordination.membership.crash_news import CrashNews
 from dunlinnotch.coordination.membership.mesh import DRAINING, RUNNING, STALE_S, Mesh
 from dunlinnotch.coordination.membership.wake import WakeWatch
@@ -193,8 +193,8 @@
         self.gossip.join(self.crash_news, self.followers)
         self._crash_guard = CrashGuard(self.crashes, self._targets, tell=self.crash_news.tell)
         self.probes = ProbeShare(settings.probes_per_s, clock=clock)
-        self.times = WorkTimes()
-        chooser = FreshReportChooser(place=settings.place, times=self.times, rng=rng)
+        self.times = LatencyModel()
+        chooser = FreshReportChooser(place=settings.place, latency_model=self.times, rng=rng)
         self.selector = TargetSelector(
             instances=self.instances,
             chooser=chooser,
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -18,9 +18,9 @@
 from dunlinnotch.coordination.budgets import probe_leases, probes
 from dunlinnotch.coordination.budgets.shares import ProbeShare, RetryShare
 from dunlinnotch.coordination.choosing.fresh_reports import FreshReportChooser
+from dunlinnotch.coordination.choosing.latency_model import LatencyModel
 from dunlinnotch.coordination.choosing.saturation import Saturation
 from dunlinnotch.coordination.choosing.selector import TargetSelector
-from dunlinnotch.coordination.choosing.work_times import WorkTimes
 from dunlinnotch.coordination.membership.crash_news import CrashNews
 from dunlinnotch.coordination.membership.links import Links
 from dunlinnotch.coordination.membership.mesh import STALE_S, Mesh
@@ -403,10 +403,10 @@
     Mutant("hand no target to those that wait", TargetSelector, "_offer", _offer_nothing, SELECTOR),
     Mutant(
         "learn nothing of fullness",
-        WorkTimes,
-        "slowed_by",
+        LatencyModel,
+        "slowdown",
         _learn_nothing,
-        "tests/test_work_times.py",
+        "tests/test_latency_model.py",
     ),
     Mutant(
         "read on through a store that went back",
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -264,13 +264,13 @@
             box = world.boxes[0]
             await until(lambda: box.instances.of("loans"))
             assert (await call(box, "/lend/", "first", method="POST", body=b"x")).status == 200
-            usual = box.times.usual("lend")
+            usual = box.times.usual_latency("lend")
             worker.settings.work_s = 0.0
             worker.settings.faults = [fault] * 3
             for number in range(3):
                 answer = await call(box, "/lend/", f"f{number}", method="POST", body=b"x")
                 assert answer.status >= 500
-            assert box.times.usual("lend") == usual >= 0.05
+            assert box.times.usual_latency("lend") == usual >= 0.05
 
     run(test)
 
--- a/tests/test_fresh_reports.py
+++ b/tests/test_fresh_reports.py
@@ -12,7 +12,7 @@
     expected_latency_ratio,
     overload,
 )
-from dunlinnotch.coordination.choosing.work_times import WorkTimes
+from dunlinnotch.coordination.choosing.latency_model import LatencyModel
 from dunlinnotch.state.instances import Instance, ListedTarget
 from dunlinnotch.state.target_status import TargetReport, TargetStatus
 
@@ -41,7 +41,7 @@
     ],
 )
 def test_only_a_free_target_of_usual_speed_by_a_fresh_report_is_good(report, age, good):
-    chooser = FreshReportChooser(place="hall-a", times=WorkTimes(), rng=random.Random(1))
+    chooser = FreshReportChooser(place="hall-a", latency_model=LatencyModel(), rng=random.Random(1))
     assert chooser.is_good(target(report=report, age=age), NOW) is good
 
 
@@ -63,7 +63,7 @@
 
 
 def test_order_is_own_place_then_others_then_slow_then_aside():
-    chooser = FreshReportChooser(place="hall-a", times=WorkTimes(), rng=random.Random(1))
+    chooser = FreshReportChooser(place="hall-a", latency_model=LatencyModel(), rng=random.Random(1))
     near, far = target("near"), target("far", place="hall-b")
     slow = target("slow", report=(0, 0, 6, 7.0))
     aside = target("aside")
@@ -75,7 +75,7 @@
 
 
 def test_failures_set_aside_for_a_while_and_an_answer_ends_it():
-    chooser = FreshReportChooser(place="hall-a", times=WorkTimes(), rng=random.Random(1))
+    chooser = FreshReportChooser(place="hall-a", latency_model=LatencyModel(), rng=random.Random(1))
     instance = target(report=(0, 0, 6, 1.0))
     chooser.record_failure(instance, NOW)
     assert chooser.is_good(instance, NOW)
@@ -98,7 +98,7 @@
     ],
 )
 def test_only_what_is_turned_away_in_spite_of_room_counts_as_failures(said, aside):
-    chooser = FreshReportChooser(place="hall-a", times=WorkTimes(), rng=random.Random(1))
+    chooser = FreshReportChooser(place="hall-a", latency_model=LatencyModel(), rng=random.Random(1))
     instance = target()
     for _ in range(2):
         chooser.record_refusal(instance, said, NOW)
--- a/tests/test_work_times.py
+++ b/tests/test_latency_model.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from dunlinnotch.coordination.choosing.work_times import LoadAtSend, WorkTimes
+from dunlinnotch.coordination.choosing.latency_model import LatencyModel, LoadAtSend
 
 WORK_S = 0.2
 
@@ -14,11 +14,11 @@
 def learnt(slots, slowed, *, answers=400, seed=1):
     """Return what is learnt of targets that ``slowed(fill)`` describes."""
     rng = random.Random(seed)
-    times = WorkTimes()
+    times = LatencyModel()
     for _ in range(answers):
         start = LoadAtSend(rng.randrange(slots), slots, latency_ratio=1.0, report_age=0.001)
         took = WORK_S * rng.uniform(0.6, 1.4) * slowed(start.utilisation)
-        times.note("read", "records", start, took)
+        times.record("read", "records", start, took)
     return times
 
 
@@ -38,46 +38,46 @@
 @pytest.mark.parametrize("slowed", [never, late, early])
 def test_what_fullness_adds_is_learnt_for_each_share_of_the_slots(slots, slowed):
     times = learnt(slots, slowed)
-    assert times.usual("read") == pytest.approx(WORK_S, rel=0.15)
+    assert times.usual_latency("read") == pytest.approx(WORK_S, rel=0.15)
     for taken in range(1, slots):
         fill = (taken + 1) / slots
         if fill > 0.5:
-            assert times.slowed_by("records", fill) == pytest.approx(slowed(fill), rel=0.25)
+            assert times.slowdown("records", fill) == pytest.approx(slowed(fill), rel=0.25)
 
 
 def test_what_nobody_told_is_taken_to_slow_down_when_nearly_full():
-    times = WorkTimes()
-    assert times.usual("read") is None
-    assert times.slowed_by("records", 0.5) == 1.0
-    assert times.slowed_by("records", 1.0) > 1.35
+    times = LatencyModel()
+    assert times.usual_latency("read") is None
+    assert times.slowdown("records", 0.5) == 1.0
+    assert times.slowdown("records", 1.0) > 1.35
 
 
 def test_a_few_answers_do_not_turn_what_was_taken_to_hold():
     times = learnt(6, never, answers=4)
-    assert times.slowed_by("records", 1.0) > 1.2
+    assert times.slowdown("records", 1.0) > 1.2
 
 
 def test_what_takes_no_work_hides_nothing():
     """ikenga-gate: checks of 2 ms among work of 60 ms made full targets look fast."""
     times = learnt(6, late)
     for _ in range(100):
-        times.note("ping", "records", LoadAtSend(0, 6, 1.0, 0.001), 0.002)
-        times.note("ping", "records", LoadAtSend(5, 6, 1.0, 0.001), 0.002)
-        times.note("read", "records", LoadAtSend(5, 6, 1.0, 0.001), WORK_S * 1.7)
-    assert times.slowed_by("records", 1.0) == pytest.approx(1.7, rel=0.1)
+        times.record("ping", "records", LoadAtSend(0, 6, 1.0, 0.001), 0.002)
+        times.record("ping", "records", LoadAtSend(5, 6, 1.0, 0.001), 0.002)
+        times.record("read", "records", LoadAtSend(5, 6, 1.0, 0.001), WORK_S * 1.7)
+    assert times.slowdown("records", 1.0) == pytest.approx(1.7, rel=0.1)
 
 
 def test_each_service_is_learnt_by_itself():
     times = learnt(6, never)
-    assert times.slowed_by("records", 1.0) < 1.2
-    assert times.slowed_by("loans", 1.0) > 1.35
+    assert times.slowdown("records", 1.0) < 1.2
+    assert times.slowdown("loans", 1.0) > 1.35
 
 
 def test_a_change_of_the_targets_is_followed():
     times = learnt(6, never)
     for _ in range(60):
-        times.note("read", "records", LoadAtSend(5, 6, 1.0, 0.001), WORK_S * 2)
-    assert times.slowed_by("records", 1.0) > 1.7
+        times.record("read", "records", LoadAtSend(5, 6, 1.0, 0.001), WORK_S * 2)
+    assert times.slowdown("records", 1.0) > 1.7
 
 
 @pytest.mark.parametrize(
@@ -90,14 +90,14 @@
 )
 def test_nothing_is_learnt_where_something_else_may_have_taken_the_time(start):
     times = learnt(6, never)
-    before = times.slowed_by("records", 1.0)
+    before = times.slowdown("records", 1.0)
     for _ in range(40):
-        times.note("read", "records", start, WORK_S * 5)
-    assert times.slowed_by("records", 1.0) == before
+        times.record("read", "records", start, WORK_S * 5)
+    assert times.slowdown("records", 1.0) == before
 
 
 def test_the_less_is_known_of_a_fullness_the_more_often_it_is_tried():
-    times = WorkTimes()
-    unknown = times.part_to_try("records", 1.0)
-    known = learnt(6, late).part_to_try("records", 1.0)
+    times = LatencyModel()
+    unknown = times.exploration_share("records", 1.0)
+    known = learnt(6, late).exploration_share("records", 1.0)
     assert 0.1 > unknown > known > 0.0
--- a/tests/test_selector.py
+++ b/tests/test_selector.py
@@ -10,8 +10,8 @@
 
 from dunlinnotch.coordination.budgets.shares import ProbeShare
 from dunlinnotch.coordination.choosing.fresh_reports import FreshReportChooser
+from dunlinnotch.coordination.choosing.latency_model import LatencyModel
 from dunlinnotch.coordination.choosing.selector import TargetSelector
-from dunlinnotch.coordination.choosing.work_times import WorkTimes
 from dunlinnotch.protocol.relay import Asked
 from dunlinnotch.state.instances import InstanceList, ListedTarget
 from dunlinnotch.state.target_status import TargetReport, TargetStatus
@@ -48,7 +48,7 @@
         rng = random.Random(1)
         selector = TargetSelector(
             instances=instances,
-            chooser=FreshReportChooser(place="hall-a", times=WorkTimes(), rng=rng),
+            chooser=FreshReportChooser(place="hall-a", latency_model=LatencyModel(), rng=rng),
             probes=probes,
             probe_path=lambda service: "/health",
             targets=targets,
@@ -123,7 +123,7 @@
 
 def test_a_service_found_full_gets_only_what_starts_fast(monkeypatch):
     """wusta-listings scale-2: full targets work 1.7 times longer and stayed full for good."""
-    monkeypatch.setattr(WorkTimes, "part_to_try", lambda self, service, fill: 0.0)
+    monkeypatch.setattr(LatencyModel, "exploration_share", lambda self, service, fill: 0.0)
     picks, _ = seek(NEAR, probes_per_s=6000.0, times=40, running=2, max_ratio=9.0)
     assert [why for _, why in picks[:2]] == ["best"] * 2
     assert picks[-10:] == [None] * 10
@@ -131,7 +131,7 @@
 
 def test_a_nearly_full_target_is_tried_now_and_then_to_learn_what_that_costs(monkeypatch):
     """bbd-gateway: what nobody tried was taken to be slow for good."""
-    monkeypatch.setattr(WorkTimes, "part_to_try", lambda self, service, fill: 0.5)
+    monkeypatch.setattr(LatencyModel, "exploration_share", lambda self, service, fill: 0.5)
     enough = {
         "probes_per_s": 6000.0,
         "times": 20,
@@ -208,7 +208,9 @@
         loop = asyncio.get_running_loop()
         selector = TargetSelector(
             instances=instances,
-            chooser=FreshReportChooser(place="hall-a", times=WorkTimes(), rng=random.Random(1)),
+            chooser=FreshReportChooser(
+                place="hall-a", latency_model=LatencyModel(), rng=random.Random(1)
+            ),
             probes=ProbeShare(60.0, clock=loop.time),
             probe_path=lambda service: "/health",
             targets=targets,
