--- a/benchmarks/goodput.py
+++ b/benchmarks/goodput.py
@@ -18,10 +18,10 @@
 from typing import TYPE_CHECKING
 
 from benchmarks._virtual import run_virtually
-from dunlinnotch.coordination.budgets.shares import ProbeShare, RepeatShare
-from dunlinnotch.coordination.choosing.asking import TargetSeeker
-from dunlinnotch.coordination.choosing.fresh import FreshChooser
-from dunlinnotch.coordination.choosing.work_times import WorkTimes
+from dunlinnotch.coordination.budgets.shares import ProbeShare, RetryShare
+from dunlinnotch.coordination.choosing.fresh_reports import FreshReportChooser
+from dunlinnotch.coordination.choosing.latency_model import LatencyModel
+from dunlinnotch.coordination.choosing.selector import TargetSelector
 from dunlinnotch.coordination.requests.crash_guard import CrashGuard
 from dunlinnotch.coordination.requests.forward import Forwarder
 from dunlinnotch.protocol.outcome import Reason
@@ -308,10 +308,10 @@
             instances.take(listed, 0.0)
         probes = ProbeShare(_PROBES_PER_S, clock=clock)
         probes.boxes = BOXES
-        times = WorkTimes()
-        chooser = FreshChooser(place=place, times=times, rng=rng)
+        times = LatencyModel()
+        chooser = FreshReportChooser(place=place, latency_model=times, rng=rng)
         targets = ModelTargets(self._targets)
-        seeker = TargetSeeker(
+        selector = TargetSelector(
             instances=instances,
             chooser=chooser,
             probes=probes,
@@ -328,8 +328,8 @@
             instances=instances,
             chooser=chooser,
             times=times,
-            selector=seeker,
-            make_retry_share=lambda: RepeatShare(ratio=0.2, slack=62, window=10, clock=clock),
+            selector=selector,
+            make_retry_share=lambda: RetryShare(ratio=0.2, slack=62, window=10, clock=clock),
             guard=CrashGuard(CrashLog(clock=clock), targets, publish=lambda _: None),
             targets=targets,
             observer=NoObserver(),
--- a/dunlinnotch/coordination/choosing/work_times.py
+++ b/dunlinnotch/coordination/choosing/latency_model.py
@@ -75,52 +75,52 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Start:
+class LoadAtSend:
     """What was known of a target when a request was sent there.
 
     Parameters
     ----------
-    ahead, slots : int
+    queued_ahead, slots : int
         Requests there before it, and slots.
-    slowness : float
+    latency_ratio : float
         How long work took there; 1 is usual.
     report_age : float
         Age of the report that told it, in seconds.
     """
 
-    ahead: int
+    queued_ahead: int
     slots: int
-    slowness: float
+    latency_ratio: float
     report_age: Seconds
 
     @property
-    def fill(self) -> float:
+    def utilisation(self) -> float:
         """Share of the slots in use once the request is there."""
-        return (self.ahead + 1) / self.slots
+        return (self.queued_ahead + 1) / self.slots
 
     @property
-    def certain(self) -> bool:
+    def is_informative(self) -> bool:
         """Whether its answer tells of fullness alone."""
         return (
             self.report_age <= _YOUNG_S
-            and self.slowness <= _USUAL_SLOWNESS
-            and self.ahead < self.slots
+            and self.latency_ratio <= _USUAL_SLOWNESS
+            and self.queued_ahead < self.slots
         )
 
 
-class WorkTimes:
+class LatencyModel:
     """The usual time of each kind of request, and what fullness adds in each service."""
 
     def __init__(self) -> None:
         self._usual: dict[str, _Mean] = {}
         self._slowed: dict[tuple[str, int], _Slowed] = {}
 
-    def usual(self, kind: str) -> Seconds | None:
+    def usual_latency(self, kind: str) -> Seconds | None:
         """Return how long a kind takes at a target with free slots; None if not known."""
         found = self._usual.get(kind)
         return None if found is None else found.value
 
-    def slowed_by(self, service: str, fill: float) -> float:
+    def slowdown(self, service: str, fill: float) -> float:
         """Return how many times longer work takes that starts at a target so full.
 
         Parameters
@@ -132,34 +132,34 @@
         found = self._slowed.get((service, _step(fill)))
         return _prior(fill) if found is None else found.factor
 
-    def part_to_try(self, service: str, fill: float) -> float:
+    def exploration_share(self, service: str, fill: float) -> float:
         """Return which part of the requests is to try a fullness taken to be slow."""
         found = self._slowed.get((service, _step(fill)))
         known = 0 if found is None else found.answers
         return max(_TRY_KNOWN, 1 / (1 / _TRY_UNKNOWN + known))
 
-    def note(self, kind: str, service: str, start: Start, took: Seconds) -> None:
+    def record(self, kind: str, service: str, start: LoadAtSend, took: Seconds) -> None:
         """Learn from one answer.
 
         Parameters
         ----------
         kind, service : str
-        start : Start
+        start : LoadAtSend
         took : float
             Seconds from sending the request to its answer.
         """
-        if not start.certain:
+        if not start.is_informative:
             return
-        if start.fill <= _FREE_UP_TO or start.ahead == 0:
+        if start.utilisation <= _FREE_UP_TO or start.queued_ahead == 0:
             self._usual.setdefault(kind, _Mean(took, 0)).take(took)
             return
-        usual = self.usual(kind)
+        usual = self.usual_latency(kind)
         if not usual:
             return
-        key = (service, _step(start.fill))
+        key = (service, _step(start.utilisation))
         found = self._slowed.get(key)
         if found is None:
-            found = self._slowed[key] = _Slowed.prior(_prior(start.fill), usual)
+            found = self._slowed[key] = _Slowed.prior(_prior(start.utilisation), usual)
         found.take(min(took, _RATIO_MOST * usual), usual)
 
 
--- a/dunlinnotch/coordination/choosing/asking.py
+++ b/dunlinnotch/coordination/choosing/selector.py
@@ -16,10 +16,14 @@
 from typing import TYPE_CHECKING
 
 from dunlinnotch._logs import event
-from dunlinnotch.coordination.choosing.fresh import FRESH_S, USEFUL_S, excess
+from dunlinnotch.coordination.choosing.fresh_reports import (
+    MAX_FRESH_AGE_S,
+    MAX_REPORT_AGE_S,
+    overload,
+)
+from dunlinnotch.coordination.choosing.latency_model import LoadAtSend
 from dunlinnotch.coordination.choosing.saturation import Saturation
-from dunlinnotch.coordination.choosing.waiting import Pick, ServiceQueue, Waiter
-from dunlinnotch.coordination.choosing.work_times import Start
+from dunlinnotch.coordination.choosing.waiting import Selection, ServiceQueue, Waiter
 from dunlinnotch.protocol.relay import ProbeResult
 from dunlinnotch.state.target_status import TargetReport, TargetStatus
 
@@ -29,7 +33,7 @@
     from collections.abc import Callable, Collection, Coroutine, Iterator
 
     from dunlinnotch.coordination.budgets.shares import ProbeShare
-    from dunlinnotch.coordination.choosing.fresh import FreshChooser
+    from dunlinnotch.coordination.choosing.fresh_reports import FreshReportChooser
     from dunlinnotch.protocol.relay import TargetPort
     from dunlinnotch.state.instances import Instance, InstanceList
     from dunlinnotch.types import Seconds
@@ -46,13 +50,13 @@
 _ASK_LOST_S = 0.3
 
 
-class TargetSeeker:
+class TargetSelector:
     """Find targets for requests.
 
     Parameters
     ----------
     instances : InstanceList
-    chooser : FreshChooser
+    chooser : FreshReportChooser
     probes : ProbeShare
     probe_path : callable
         Returns the path of a service's health check; empty if there is none.
@@ -65,7 +69,7 @@
         self,
         *,
         instances: InstanceList,
-        chooser: FreshChooser,
+        chooser: FreshReportChooser,
         probes: ProbeShare,
         probe_path: Callable[[str], str],
         targets: TargetPort,
@@ -84,7 +88,7 @@
         self._queues: dict[str, ServiceQueue] = {}
         self._arrivals = 0
         #: Times that a target has asked this box for rest.
-        self.rests_asked = 0
+        self.backoffs_requested = 0
 
     async def choose(
         self,
@@ -92,12 +96,12 @@
         *,
         rank: int,
         tried: Collection[str],
-        give_up: Seconds,
-        first_try: Seconds = 0.0,
+        queue_deadline: Seconds,
+        first_attempt_at: Seconds = 0.0,
         start_by: Seconds = math.inf,
-        most: float = math.inf,
-        most_late: float = math.inf,
-    ) -> Pick | None:
+        max_ratio: float = math.inf,
+        max_ratio_late: float = math.inf,
+    ) -> Selection | None:
         """Return a target for one request, or None if there is none in time.
 
         Parameters
@@ -107,43 +111,45 @@
             0 is the most urgent.
         tried : collection of str
             Targets that the request has been sent to.
-        give_up : float
+        queue_deadline : float
             Monotonic seconds until which a good target is waited for.
-        first_try : float, optional
+        first_attempt_at : float, optional
             Monotonic seconds at which the caller first asked.
         start_by : float, optional
             Monotonic seconds up to which a start at a good target ends in time.
-        most : float, optional
+        max_ratio : float, optional
             Greatest expected time, as a multiple of the usual one, at which the
             request still ends within its target latency.
-        most_late : float, optional
+        max_ratio_late : float, optional
             The same for an end within its timeout; it counts where no target of the
             service has been good for a while.
         """
         if all(i.name in tried for i in self._instances.of(service)):
             tried = ()
-        rest = self.rest_left(service)
-        if rest and self._loop.time() + rest > give_up:
+        rest = self.backoff_left(service)
+        if rest and self._loop.time() + rest > queue_deadline:
             return None
         queue = self._queue(service)
         pick = None if queue.waiters else self._known_good(service, tried)
         if pick is None:
             self._arrivals += 1
             picked = self._loop.create_future()
-            waiter = Waiter(rank, self._arrivals, tried, give_up, first_try, start_by, picked)
+            waiter = Waiter(
+                rank, self._arrivals, tried, queue_deadline, first_attempt_at, start_by, picked
+            )
             pick = await self._wait(queue, waiter)
         if pick is not None:
             return pick
-        return self._last_chance(queue, tried, (most, most_late))
+        return self._last_chance(queue, tried, (max_ratio, max_ratio_late))
 
-    def release(self, pick: Pick) -> None:
+    def release(self, pick: Selection) -> None:
         """Give back a target that is not used."""
         instance = pick.instance
         instance.sent_since_report = max(0, instance.sent_since_report - 1)
-        if pick.asked is not None:
-            self._targets.release(instance.address, pick.asked)
+        if pick.probe is not None:
+            self._targets.release(instance.address, pick.probe)
 
-    def heard(self, instance: Instance, status: TargetStatus) -> None:
+    def record_status(self, instance: Instance, status: TargetStatus) -> None:
         """Take in what a target said with an answer; who waits may use it."""
         self._take_wishes(instance, status)
         if status.report is None or instance.replaced:
@@ -153,7 +159,7 @@
         if queue is not None:
             self._offer(queue, instance, None)
 
-    def rest_left(self, service: str) -> Seconds:
+    def backoff_left(self, service: str) -> Seconds:
         """Return for how long no target of a service wants anything; 0 if one does."""
         return self._instances.rest_left(service, self._loop.time())
 
@@ -166,15 +172,17 @@
 
     # -- waiting for a good target
 
-    def _known_good(self, service: str, tried: Collection[str]) -> Pick | None:
+    def _known_good(self, service: str, tried: Collection[str]) -> Selection | None:
         """Return a target that is good by a report of the last milliseconds."""
         now = self._loop.time()
         for instance in self._chooser.order(self._instances.of(service), now, exclude=tried):
-            if now - instance.reported_at < FRESH_S and self._chooser.good(instance, now):
+            if now - instance.reported_at < MAX_FRESH_AGE_S and self._chooser.is_good(
+                instance, now
+            ):
                 return self._pick(instance, None, "fresh")
         return None
 
-    async def _wait(self, queue: ServiceQueue, waiter: Waiter) -> Pick | None:
+    async def _wait(self, queue: ServiceQueue, waiter: Waiter) -> Selection | None:
         """Wait in a queue until a target is heard to be good."""
         queue.waiters.append(waiter)
         self._ask_for(queue)
@@ -207,18 +215,18 @@
 
     def _takes(self, instance: Instance) -> bool:
         now = self._loop.time()
-        return self._chooser.good(instance, now) or self._chooser.tries(instance, now)
+        return self._chooser.is_good(instance, now) or self._chooser.explores(instance, now)
 
-    def _pick(self, instance: Instance, asked: ProbeResult | None, why: str) -> Pick:
+    def _pick(self, instance: Instance, asked: ProbeResult | None, why: str) -> Selection:
         now = self._loop.time()
         report = instance.report
-        start = Start(
-            ahead=instance.ahead,
+        start = LoadAtSend(
+            queued_ahead=instance.ahead,
             slots=max(1, instance.listed.slots if report is None else report.slots),
-            slowness=1.0 if report is None else report.slowness,
+            latency_ratio=1.0 if report is None else report.slowness,
             report_age=now - instance.reported_at,
         )
-        pick = Pick(instance, asked, why, self._chooser.expected(instance, now), start)
+        pick = Selection(instance, asked, why, self._chooser.expected_ratio(instance, now), start)
         instance.sent_since_report += 1
         if why in ("good", "fresh"):
             self._queue(instance.listed.service).good_at = now
@@ -228,17 +236,17 @@
 
     def _last_chance(
         self, queue: ServiceQueue, tried: Collection[str], most: tuple[float, float]
-    ) -> Pick | None:
+    ) -> Selection | None:
         """Return the best of what is known, if the request may go there."""
         now = self._loop.time()
         order = self._chooser.order(self._instances.of(queue.service), now, exclude=tried)
         order = [i for i in order if now >= i.aside_until] or order
         if not order:
             return None
-        best = min(order, key=lambda i: self._chooser.expected(i, now))
+        best = min(order, key=lambda i: self._chooser.expected_ratio(i, now))
         if not self._bearable(queue, best, most, now):
             return None
-        known = now - best.reported_at <= USEFUL_S
+        known = now - best.reported_at <= MAX_REPORT_AGE_S
         return self._pick(best, None, "best" if known else "unasked")
 
     def _bearable(
@@ -254,9 +262,9 @@
         """
         in_time, late = most
         limit = in_time if now - queue.good_at < _SLOW_FOR_S else late
-        if excess(instance) > 0 or self._chooser.expected(instance, now) > limit:
+        if overload(instance) > 0 or self._chooser.expected_ratio(instance, now) > limit:
             return False
-        return self._chooser.good(instance, now) or self._rng.random() < queue.saturation.room
+        return self._chooser.is_good(instance, now) or self._rng.random() < queue.saturation.room
 
     # -- asking
 
@@ -309,7 +317,7 @@
             queue.overdue.discard(instance)
         usable = self._take_answer(instance, asked)
         if usable:
-            queue.saturation.note(full=self._chooser.is_full(instance))
+            queue.saturation.note(full=self._chooser.is_saturated(instance))
         used = usable and self._offer(queue, instance, asked)
         if not used:
             self._targets.release(instance.address, asked)
@@ -326,7 +334,7 @@
         status = asked.status or TargetStatus()
         if asked.instance is None:
             self._take_wishes(instance, status)
-            self._chooser.failed(instance, self._loop.time())
+            self._chooser.record_failure(instance, self._loop.time())
             return False
         if asked.instance != instance.name:
             if self._instances.leave(instance.name):
@@ -368,10 +376,10 @@
         # this, the next request went to it after 0.3 s (median, 72 pairs of box and target).
         now = self._loop.time()
         self._instances.rest(instance, now + rest)
-        left = self.rest_left(instance.listed.service)
+        left = self.backoff_left(instance.listed.service)
         if left:
             self._queue(instance.listed.service).refuse_before(now + left)
-        self.rests_asked += 1
+        self.backoffs_requested += 1
         event(
             self._log,
             "target-asks-rest",
--- a/dunlinnotch/coordination/choosing/waiting.py
+++ b/dunlinnotch/coordination/choosing/waiting.py
@@ -10,8 +10,8 @@
     import asyncio
     from collections.abc import Collection
 
+    from dunlinnotch.coordination.choosing.latency_model import LoadAtSend
     from dunlinnotch.coordination.choosing.saturation import Saturation
-    from dunlinnotch.coordination.choosing.work_times import Start
     from dunlinnotch.protocol.relay import ProbeResult
     from dunlinnotch.state.instances import Instance
     from dunlinnotch.types import Seconds
@@ -24,27 +24,27 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pick:
+class Selection:
     """A target chosen, and what was known of it then.
 
     Parameters
     ----------
     instance : Instance
-    asked : ProbeResult or None
+    probe : ProbeResult or None
         The probe that spoke for it, with its connection.
-    why : str
+    reason : str
         ``good`` by a probe just answered, ``fresh`` by a report that came otherwise,
         ``best`` of what is known where none was good in time, ``unasked`` if nothing is.
-    expected : float
+    expected_ratio : float
         Expected time, as a multiple of the usual one.
-    start : Start
+    load_at_send : LoadAtSend
     """
 
     instance: Instance
-    asked: ProbeResult | None
-    why: str
-    expected: float
-    start: Start
+    probe: ProbeResult | None
+    reason: str
+    expected_ratio: float
+    load_at_send: LoadAtSend
 
 
 @dataclass(slots=True, eq=False)
@@ -60,7 +60,7 @@
     #: Up to when a start at a good target ends in time, in monotonic seconds.
     start_by: Seconds
     #: None if no target can be had in time.
-    picked: asyncio.Future[Pick | None]
+    picked: asyncio.Future[Selection | None]
 
     def order(self, now: Seconds) -> tuple[int, bool, Seconds, int]:
         """Return the place among those that wait; the least goes first.
--- a/dunlinnotch/coordination/requests/forward.py
+++ b/dunlinnotch/coordination/requests/forward.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING, Protocol
 
 from dunlinnotch._logs import event
-from dunlinnotch.coordination.choosing.fresh import GOOD
+from dunlinnotch.coordination.choosing.fresh_reports import MAX_GOOD_RATIO
 from dunlinnotch.coordination.requests.bodies import BufferedBody
 from dunlinnotch.coordination.requests.crash_guard import TrackedRequest
 from dunlinnotch.coordination.requests.fingerprint import fingerprint
@@ -29,11 +29,11 @@
     import random
     from collections.abc import AsyncIterator, Callable
 
-    from dunlinnotch.coordination.budgets.shares import RepeatShare
-    from dunlinnotch.coordination.choosing.asking import TargetSeeker
-    from dunlinnotch.coordination.choosing.fresh import FreshChooser
-    from dunlinnotch.coordination.choosing.waiting import Pick
-    from dunlinnotch.coordination.choosing.work_times import WorkTimes
+    from dunlinnotch.coordination.budgets.shares import RetryShare
+    from dunlinnotch.coordination.choosing.fresh_reports import FreshReportChooser
+    from dunlinnotch.coordination.choosing.latency_model import LatencyModel
+    from dunlinnotch.coordination.choosing.selector import TargetSelector
+    from dunlinnotch.coordination.choosing.waiting import Selection
     from dunlinnotch.coordination.requests.crash_guard import CrashGuard
     from dunlinnotch.protocol.relay import AttemptEnd, CallerRequest, ReplyPort, TargetPort
     from dunlinnotch.state.instances import Instance, InstanceList
@@ -74,9 +74,9 @@
     catching_up : callable
         Returns whether the box stood still and does not know yet what has changed.
     instances : InstanceList
-    chooser : FreshChooser
-    times : WorkTimes
-    selector : TargetSeeker
+    chooser : FreshReportChooser
+    times : LatencyModel
+    selector : TargetSelector
     make_retry_share : callable
         Makes the repeat budget of a service.
     guard : CrashGuard
@@ -92,10 +92,10 @@
         settings_age: Callable[[], Seconds],
         catching_up: Callable[[], bool],
         instances: InstanceList,
-        chooser: FreshChooser,
-        times: WorkTimes,
-        selector: TargetSeeker,
-        make_retry_share: Callable[[], RepeatShare],
+        chooser: FreshReportChooser,
+        times: LatencyModel,
+        selector: TargetSelector,
+        make_retry_share: Callable[[], RetryShare],
         guard: CrashGuard,
         targets: TargetPort,
         observer: ForwardObserver,
@@ -114,7 +114,7 @@
         self._observer = observer
         self._rng = rng
         self._loop = asyncio.get_running_loop()
-        self._retry_shares: dict[str, RepeatShare] = {}
+        self._retry_shares: dict[str, RetryShare] = {}
         self._points: dict[str, float] = {}
         self._first_attempts = FirstAttempts()
         self._running: set[Run] = set()
@@ -131,7 +131,7 @@
             if run.scope is not None:
                 run.scope.reschedule(self._loop.time())
 
-    def retry_share(self, service: str) -> RepeatShare:
+    def retry_share(self, service: str) -> RetryShare:
         """Return the repeat budget of a service."""
         found = self._retry_shares.get(service)
         if found is None:
@@ -255,7 +255,7 @@
         """Return after how long a refused caller may come back."""
         if ending.retry_after is not None:
             return ending.retry_after
-        rest = self._selector.rest_left(run.service)
+        rest = self._selector.backoff_left(run.service)
         unknowing = ending.reason in (Reason.NO_SETTINGS, Reason.CATCHING_UP)
         wait = _COME_BACK_UNKNOWING_S if unknowing else _COME_BACK_S
         if run.kind is not None:
@@ -299,7 +299,7 @@
         detail = "targets ended under this request each time it was run"
         return Ending(Outcome.NOT_RUN, 503, Reason.REQUEST_BARRED, detail, retry_after=wait)
 
-    def _still(self, run: Run, pick: Pick) -> bool:
+    def _still(self, run: Run, pick: Selection) -> bool:
         """Return whether what the choice rests on still holds after waiting for probes."""
         if self._catching_up():
             return False
@@ -316,7 +316,7 @@
         if not self._instances.of(service):
             detail = f"service {service!r} has no target"
             return Ending(Outcome.NOT_RUN, 503, Reason.NO_TARGET, detail)
-        if self._selector.rest_left(service):
+        if self._selector.backoff_left(service):
             detail = f"all targets of service {service!r} want rest"
             return Ending(Outcome.NOT_RUN, 503, Reason.TARGETS_RESTING, detail)
         return Ending(Outcome.NOT_RUN, 503, Reason.QUEUE_FULL, "no target is free in time")
@@ -326,7 +326,7 @@
             return False
         return kind.repeatable or not run.may_have_run
 
-    async def _attempt(self, run: Run, kind: RequestKind, pick: Pick) -> AttemptEnd:
+    async def _attempt(self, run: Run, kind: RequestKind, pick: Selection) -> AttemptEnd:
         instance = pick.instance
         now = self._loop.time()
         request = run.request
@@ -346,7 +346,7 @@
                 instance=instance.name,
                 still=lambda: self._still(run, pick),
                 said=lambda status: self._hear(trial, status),
-                probe_result=pick.asked,
+                probe_result=pick.probe,
                 once=not kind.repeatable,
             )
             trial.end = type(end).__name__
@@ -360,7 +360,7 @@
     def _hear(self, trial: Try, status: TargetStatus) -> None:
         """Take in what a target says of itself beside its answer."""
         trial.said = status
-        self._selector.heard(trial.pick.instance, status)
+        self._selector.record_status(trial.pick.instance, status)
 
     async def _settle(
         self, run: Run, kind: RequestKind, instance: Instance, end: AttemptEnd
@@ -371,7 +371,7 @@
         if isinstance(end, NotSent):
             run.sends -= 1
             run.may_have_run = run.ran_before
-            self._chooser.failed(instance, now)
+            self._chooser.record_failure(instance, now)
             return Ending(Outcome.NOT_RUN, 503, end.reason, end.detail)
         if isinstance(end, NotRun):
             run.may_have_run = run.ran_before
@@ -379,11 +379,11 @@
                 self._instances.leave(instance.name)
                 event(_log, "target-replaced", instance=instance.name, target=instance.address)
             else:
-                self._chooser.refused(instance, run.tries[-1].said, now)
+                self._chooser.record_refusal(instance, run.tries[-1].said, now)
             detail = f"the target refused with status {end.status}"
             return Ending(Outcome.NOT_RUN, 503, Reason.TARGET_REFUSED, detail)
         if end.reason is not Reason.BODY_BROKEN:
-            self._chooser.failed(instance, now)
+            self._chooser.record_failure(instance, now)
             await self._look_for_end(run, instance)
         return Ending(Outcome.UNKNOWN, 502, end.reason, end.detail)
 
@@ -402,12 +402,12 @@
         try:
             whole = await answer.whole_within(_READ_FIRST)
             if failed:
-                self._chooser.failed(instance, self._loop.time())
+                self._chooser.record_failure(instance, self._loop.time())
                 if self._should_retry_failure(run, kind):
                     detail = f"the target failed with status {head.status}"
                     return Ending(Outcome.UNKNOWN, 502, Reason.TARGET_BROKEN, detail)
             else:
-                self._chooser.did_well(instance)
+                self._chooser.record_success(instance)
             if whole is not None:
                 run.reply.reply(head.status, head.headers, whole, head.phrase)
             else:
@@ -418,10 +418,10 @@
             if not failed:
                 # Failures are mostly fast, and would make the usual time seem short.
                 took = self._loop.time() - run.tries[-1].began
-                self._times.note(kind.name, run.service, run.tries[-1].pick.start, took)
+                self._times.record(kind.name, run.service, run.tries[-1].pick.load_at_send, took)
             return Ending(Outcome.ANSWERED, head.status)
         except BodyCutError as error:
-            self._chooser.failed(instance, self._loop.time())
+            self._chooser.record_failure(instance, self._loop.time())
             run.tries[-1].end = "cut"
             await self._look_for_end(run, instance)
             return Ending(Outcome.UNKNOWN, 502, Reason.TARGET_BROKEN, str(error))
@@ -435,22 +435,22 @@
         others = [i for i in self._instances.of(run.service) if i.name not in run.tried]
         return bool(others)
 
-    async def _choose(self, run: Run, kind: RequestKind, service: str) -> Pick | None:
+    async def _choose(self, run: Run, kind: RequestKind, service: str) -> Selection | None:
         """Look for a target, at most for a share of the target latency."""
         since = self._loop.time() if run.sends else run.request.arrived
         # What counts for a caller is the time since it first asked, not since it came back.
         in_time = min(run.request.deadline, run.first_try + kind.target_latency)
         late = min(run.request.deadline, run.request.arrived + kind.timeout)
-        usual = self._times.usual(kind.name)
+        usual = self._times.usual_latency(kind.name)
         return await self._selector.choose(
             service,
             rank=kind.rank,
             tried=run.tried,
-            give_up=since + kind.target_latency * _WAIT_SHARE,
-            first_try=run.first_try,
-            start_by=math.inf if usual is None else in_time - GOOD * usual,
-            most=self._most_expected(in_time, usual),
-            most_late=self._most_expected(late, usual),
+            queue_deadline=since + kind.target_latency * _WAIT_SHARE,
+            first_attempt_at=run.first_try,
+            start_by=math.inf if usual is None else in_time - MAX_GOOD_RATIO * usual,
+            max_ratio=self._most_expected(in_time, usual),
+            max_ratio_late=self._most_expected(late, usual),
         )
 
     def _most_expected(self, until: Seconds, usual: Seconds | None) -> float:
--- a/dunlinnotch/coordination/requests/run.py
+++ b/dunlinnotch/coordination/requests/run.py
@@ -14,7 +14,7 @@
 if TYPE_CHECKING:
     import asyncio
 
-    from dunlinnotch.coordination.choosing.waiting import Pick
+    from dunlinnotch.coordination.choosing.waiting import Selection
     from dunlinnotch.coordination.requests.bodies import BufferedBody
     from dunlinnotch.protocol.outcome import Outcome, Reason
     from dunlinnotch.protocol.relay import CallerRequest, ReplyPort
@@ -51,7 +51,7 @@
 
     Parameters
     ----------
-    pick : Pick
+    pick : Selection
     began, took : float
     end : str
         Name of the :data:`~.relay.AttemptEnd`.
@@ -61,7 +61,7 @@
         What the target said of itself beside its answer.
     """
 
-    pick: Pick
+    pick: Selection
     began: Seconds
     took: Seconds = 0.0
     end: str = ""
@@ -72,11 +72,11 @@
         """Return what the log tells of it; ``began_ms`` counts from the request's arrival."""
         return {
             "target": self.pick.instance.name,
-            "why": self.pick.why,
-            "expected": round(self.pick.expected, 2),
-            "ahead": self.pick.start.ahead,
-            "slowness": self.pick.start.slowness,
-            "report_age_ms": round(self.pick.start.report_age * 1000),
+            "why": self.pick.reason,
+            "expected": round(self.pick.expected_ratio, 2),
+            "ahead": self.pick.load_at_send.queued_ahead,
+            "slowness": self.pick.load_at_send.latency_ratio,
+            "report_age_ms": round(self.pick.load_at_send.report_age * 1000),
             "began_ms": round((self.began - arrived) * 1000, 1),
             "took_ms": round(self.took * 1000, 1),
             "end": self.end,
--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -12,10 +12,10 @@
 
 from dunlinnotch._clocks import elapsed
 from dunlinnotch._logs import event
-from dunlinnotch.coordination.budgets.shares import ProbeShare, RepeatShare
-from dunlinnotch.coordination.choosing.asking import TargetSeeker
-from dunlinnotch.coordination.choosing.fresh import FreshChooser
-from dunlinnotch.coordination.choosing.work_times import WorkTimes
+from dunlinnotch.coordination.budgets.shares import ProbeShare, RetryShare
+from dunlinnotch.coordination.choosing.fresh_reports import FreshReportChooser
+from dunlinnotch.coordination.choosing.latency_model import LatencyModel
+from dunlinnotch.coordination.choosing.selector import TargetSelector
 from dunlinnotch.coordination.membership.crash_gossip import CrashGossip
 from dunlinnotch.coordination.membership.mesh import DRAINING, RUNNING, STALE_S, Mesh
 from dunlinnotch.coordination.membership.pause_detector import PauseDetector
@@ -193,9 +193,9 @@
         self.gossip.join(self.crash_gossip, self.followers)
         self._crash_guard = CrashGuard(self.crashes, self._targets, publish=self.crash_gossip.tell)
         self.probes = ProbeShare(settings.probes_per_s, clock=clock)
-        self.work_times = WorkTimes()
-        chooser = FreshChooser(place=settings.place, times=self.work_times, rng=rng)
-        self.selector = TargetSeeker(
+        self.work_times = LatencyModel()
+        chooser = FreshReportChooser(place=settings.place, latency_model=self.work_times, rng=rng)
+        self.selector = TargetSelector(
             instances=self.instances,
             chooser=chooser,
             probes=self.probes,
@@ -371,9 +371,9 @@
             return
         await self.forwarder.serve(request, exchange.body(), exchange)
 
-    def _make_repeats(self) -> RepeatShare:
+    def _make_repeats(self) -> RetryShare:
         settings = self._settings
-        share = RepeatShare(
+        share = RetryShare(
             ratio=settings.retry_ratio,
             slack=settings.retry_slack,
             window=settings.retry_window,
@@ -414,7 +414,7 @@
             "entries_unreadable_total": float(
                 self._listed.unreadable_count + self.routes.unreadable_count
             ),
-            "rests_asked_total": float(self.selector.rests_asked),
+            "rests_asked_total": float(self.selector.backoffs_requested),
             "targets_ended_total": float(self._crash_guard.targets_crashed),
             "requests_barred": float(self.crashes.quarantined),
             "store_calls_total": float(self._adapter.store_calls()),
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -15,12 +15,12 @@
 
 import pytest
 
-from dunlinnotch.coordination.budgets import probes, seats
-from dunlinnotch.coordination.budgets.shares import ProbeShare, RepeatShare
-from dunlinnotch.coordination.choosing.asking import TargetSeeker
-from dunlinnotch.coordination.choosing.fresh import FreshChooser
+from dunlinnotch.coordination.budgets import probe_leases, probes
+from dunlinnotch.coordination.budgets.shares import ProbeShare, RetryShare
+from dunlinnotch.coordination.choosing.fresh_reports import FreshReportChooser
+from dunlinnotch.coordination.choosing.latency_model import LatencyModel
 from dunlinnotch.coordination.choosing.saturation import Saturation
-from dunlinnotch.coordination.choosing.work_times import WorkTimes
+from dunlinnotch.coordination.choosing.selector import TargetSelector
 from dunlinnotch.coordination.membership.crash_gossip import CrashGossip
 from dunlinnotch.coordination.membership.links import Links
 from dunlinnotch.coordination.membership.mesh import STALE_S, Mesh
@@ -317,7 +317,7 @@
 
 ENTRY, SHARES = "tests/test_entry.py", "tests/test_shares.py"
 CRASHING, CRASH_GOSSIP = "tests/test_crashing.py", "tests/test_crash_gossip.py"
-LINKS, ASKING = "tests/test_links.py", "tests/test_asking.py"
+LINKS, SELECTOR = "tests/test_links.py", "tests/test_selector.py"
 REST, LEAVING = "tests/test_rest.py", "tests/test_leaving_words.py"
 
 MUTANTS = (
@@ -353,7 +353,13 @@
     Mutant(
         "hear no target say it leaves", InstanceList, "leave_for_good", _hear_no_leaving, LEAVING
     ),
-    Mutant("set no target aside that refuses", FreshChooser, "refused", _blame_nobody, REST),
+    Mutant(
+        "set no target aside that refuses",
+        FreshReportChooser,
+        "record_refusal",
+        _blame_nobody,
+        REST,
+    ),
     Mutant("try any number of targets", Forwarder, "_may_retry", _any_number_of_tries, ENTRY),
     Mutant("give targets three seconds more", WorkerDialect, "request_headers", _more_time, ENTRY),
     Mutant("let no target leave", InstanceList, "_take_leaving", _leave_nothing, ENTRY),
@@ -379,7 +385,7 @@
         "tests/test_store_tables.py",
     ),
     Mutant("probe without a budget", ProbeShare, "take", _spend_freely, SHARES),
-    Mutant("repeat without a budget", RepeatShare, "take", _spend_freely, SHARES),
+    Mutant("repeat without a budget", RetryShare, "take", _spend_freely, SHARES),
     Mutant("leave the store to others", Mesh, "is_reader", _nobody_reads, "tests/test_mesh.py"),
     Mutant("tell no other place", Links, "far", _tell_nobody_far, LINKS),
     Mutant("take a word told on for a new one", Heartbeat, "aged", _told_on_as_new, LINKS),
@@ -392,15 +398,15 @@
         _never_behind,
         "tests/test_following.py",
     ),
-    Mutant("send what can't end in time", TargetSeeker, "_bearable", _bear_anything, ENTRY),
-    Mutant("send to targets found full", Saturation, "room", 1.0, ASKING),
-    Mutant("hand no target to those that wait", TargetSeeker, "_offer", _offer_nothing, ASKING),
+    Mutant("send what can't end in time", TargetSelector, "_bearable", _bear_anything, ENTRY),
+    Mutant("send to targets found full", Saturation, "room", 1.0, SELECTOR),
+    Mutant("hand no target to those that wait", TargetSelector, "_offer", _offer_nothing, SELECTOR),
     Mutant(
         "learn nothing of fullness",
-        WorkTimes,
-        "slowed_by",
+        LatencyModel,
+        "slowdown",
         _learn_nothing,
-        "tests/test_work_times.py",
+        "tests/test_latency_model.py",
     ),
     Mutant(
         "read on through a store that went back",
@@ -446,8 +452,8 @@
     Mutant("accept a lower version", settings.SettingsFollower, "poll", _follow_blindly),
     Mutant("drain without waiting for callers", Drain, "start", _drain_at_once),
     Mutant("ignore that a target leaves", TargetRecord, "take_state", _never_leaving),
-    Mutant("skip the expiry of a lease", seats.SeatHolder, "held", _held_for_ever),
-    Mutant("take a seat before its lease lapsed", seats.SeatHolder, "_free", _always_free),
+    Mutant("skip the expiry of a lease", probe_leases.ProbeLeaseHolder, "held", _held_for_ever),
+    Mutant("take a lease before it expired", probe_leases.ProbeLeaseHolder, "_free", _always_free),
     Mutant("ignore the share of the budget", probes, "probes_per_second", _whole_budget),
     Mutant("forget once-keys", OnceLedger, "claim", _claim_always),
     Mutant(
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from dunlinnotch.coordination.choosing.fresh import FRESH_S
+from dunlinnotch.coordination.choosing.fresh_reports import MAX_FRESH_AGE_S
 from dunlinnotch.standins.users.store import StoreFault
 from dunlinnotch.standins.users.worker import WorkerFault, WorkerSettings
 from dunlinnotch.transport.stream.link_pool import LinkPool
@@ -264,13 +264,13 @@
             box = world.boxes[0]
             await until(lambda: box.instances.of("loans"))
             assert (await call(box, "/lend/", "first", method="POST", body=b"x")).status == 200
-            usual = box.work_times.usual("lend")
+            usual = box.work_times.usual_latency("lend")
             worker.settings.work_s = 0.0
             worker.settings.faults = [fault] * 3
             for number in range(3):
                 answer = await call(box, "/lend/", f"f{number}", method="POST", body=b"x")
                 assert answer.status >= 500
-            assert box.work_times.usual("lend") == usual >= 0.05
+            assert box.work_times.usual_latency("lend") == usual >= 0.05
 
     run(test)
 
@@ -286,7 +286,9 @@
                     await call(box, "/lend/", f"r{number}", method="POST", body=b"x")
                 ).status == 200
             worker.settings.slowness = 4000
-            await asyncio.sleep(5 * FRESH_S)  # what the last answer told is outdated by then
+            await asyncio.sleep(
+                5 * MAX_FRESH_AGE_S
+            )  # what the last answer told is outdated by then
             late = await call(box, "/lend/", "hopeless", method="POST", body=b"x", deadline_ms=900)
             assert late.status == 503
             assert "retry-after" in late.headers
--- a/tests/test_asking.py
+++ b/tests/test_selector.py
@@ -1,4 +1,4 @@
-"""Whom a seeker asks, and what it takes when nobody is good."""
+"""Whom a selector asks, and what it takes when nobody is good."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 import pytest
 
 from dunlinnotch.coordination.budgets.shares import ProbeShare
-from dunlinnotch.coordination.choosing.asking import TargetSeeker
-from dunlinnotch.coordination.choosing.fresh import FreshChooser
-from dunlinnotch.coordination.choosing.work_times import WorkTimes
+from dunlinnotch.coordination.choosing.fresh_reports import FreshReportChooser
+from dunlinnotch.coordination.choosing.latency_model import LatencyModel
+from dunlinnotch.coordination.choosing.selector import TargetSelector
 from dunlinnotch.protocol.relay import ProbeResult
 from dunlinnotch.state.instances import InstanceList, ListedTarget
 from dunlinnotch.state.target_status import TargetReport, TargetStatus
@@ -46,9 +46,9 @@
         targets = Targets(slowness or {}, running)
         probes = ProbeShare(probes_per_s, clock=lambda: 100.0)
         rng = random.Random(1)
-        seeker = TargetSeeker(
+        selector = TargetSelector(
             instances=instances,
-            chooser=FreshChooser(place="hall-a", times=WorkTimes(), rng=rng),
+            chooser=FreshReportChooser(place="hall-a", latency_model=LatencyModel(), rng=rng),
             probes=probes,
             probe_path=lambda service: "/health",
             targets=targets,
@@ -60,8 +60,8 @@
             # What was heard before is as good as forgotten.
             for instance in instances.all():
                 instance.reported_at = instance.asked_at = -1e9
-            picks.append(await seeker.choose("s", rank=0, tried=(), give_up=0.0, **limits))
-        return [pick and (pick.instance.name, pick.why) for pick in picks], targets.asked
+            picks.append(await selector.choose("s", rank=0, tried=(), queue_deadline=0.0, **limits))
+        return [pick and (pick.instance.name, pick.reason) for pick in picks], targets.asked
 
     return asyncio.run(bounded())
 
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize(
-    ("running", "slowness", "most", "taken"),
+    ("running", "slowness", "max_ratio", "taken"),
     [
         (2, 1.0, 3.0, True),
         (2, 1.0, 1.5, False),
@@ -107,7 +107,7 @@
     ],
 )
 def test_what_is_not_good_is_taken_only_where_a_slot_is_free_and_the_end_in_time(
-    running, slowness, most, taken
+    running, slowness, max_ratio, taken
 ):
     """ikenga-gate-grown scale-2: everybody waited at targets, so nobody was in time."""
     picks, _ = seek(
@@ -116,23 +116,29 @@
         times=1,
         slowness={"near-0": slowness},
         running=running,
-        most_late=most,
+        max_ratio_late=max_ratio,
     )
     assert (picks[0] is not None) is taken
 
 
 def test_a_service_found_full_gets_only_what_starts_fast(monkeypatch):
     """wusta-listings scale-2: full targets work 1.7 times longer and stayed full for good."""
-    monkeypatch.setattr(WorkTimes, "part_to_try", lambda self, service, fill: 0.0)
-    picks, _ = seek(NEAR, probes_per_s=6000.0, times=40, running=2, most=9.0)
+    monkeypatch.setattr(LatencyModel, "exploration_share", lambda self, service, fill: 0.0)
+    picks, _ = seek(NEAR, probes_per_s=6000.0, times=40, running=2, max_ratio=9.0)
     assert [why for _, why in picks[:2]] == ["best"] * 2
     assert picks[-10:] == [None] * 10
 
 
 def test_a_nearly_full_target_is_tried_now_and_then_to_learn_what_that_costs(monkeypatch):
     """bbd-gateway: what nobody tried was taken to be slow for good."""
-    monkeypatch.setattr(WorkTimes, "part_to_try", lambda self, service, fill: 0.5)
-    enough = {"probes_per_s": 6000.0, "times": 20, "running": 2, "most": 0.0, "most_late": 0.0}
+    monkeypatch.setattr(LatencyModel, "exploration_share", lambda self, service, fill: 0.5)
+    enough = {
+        "probes_per_s": 6000.0,
+        "times": 20,
+        "running": 2,
+        "max_ratio": 0.0,
+        "max_ratio_late": 0.0,
+    }
     picks, _ = seek(NEAR, **enough)
     assert [why for _, why in filter(None, picks)].count("good") > 5
     slow = {name: 7.0 for _, name in NEAR}
@@ -141,15 +147,15 @@
 
 
 def test_a_slow_target_is_taken_late_only_where_none_has_been_good_for_a_while():
-    async def act(seeker, instances, targets, choose):
+    async def act(selector, instances, targets, choose):
         found = choose()
         await turns()
         targets.answer("t-0")
-        assert (await found).why == "good"
+        assert (await found).reason == "good"
         # It is slow now, but was good just before: come back rather than be late.
         assert await answered_slowly(instances, targets, choose) is None
         tries = [await answered_slowly(instances, targets, choose) for _ in range(60)]
-        assert [pick.why for pick in filter(None, tries)][-1:] == ["best"]
+        assert [pick.reason for pick in filter(None, tries)][-1:] == ["best"]
 
     queued([("hall-a", "t-0")], act)
 
@@ -192,7 +198,7 @@
 
 
 def queued(names, act, **kwargs):
-    """Run ``act`` with a seeker whose probes are answered by hand."""
+    """Run ``act`` with a selector whose probes are answered by hand."""
 
     async def bounded():
         instances = InstanceList()
@@ -200,9 +206,11 @@
             instances.take(ListedTarget(name, "s", place, f"{name}:1", 3, False, 1, 0.0), 0.0)
         targets = SlowTargets()
         loop = asyncio.get_running_loop()
-        seeker = TargetSeeker(
+        selector = TargetSelector(
             instances=instances,
-            chooser=FreshChooser(place="hall-a", times=WorkTimes(), rng=random.Random(1)),
+            chooser=FreshReportChooser(
+                place="hall-a", latency_model=LatencyModel(), rng=random.Random(1)
+            ),
             probes=ProbeShare(60.0, clock=loop.time),
             probe_path=lambda service: "/health",
             targets=targets,
@@ -212,10 +220,12 @@
 
         def choose(rank=0, tried=(), wait=20.0):
             give_up = loop.time() + wait
-            work = seeker.choose("s", rank=rank, tried=tried, give_up=give_up, most=1.0)
+            work = selector.choose(
+                "s", rank=rank, tried=tried, queue_deadline=give_up, max_ratio=1.0
+            )
             return asyncio.ensure_future(work)
 
-        await act(seeker, instances, targets, choose)
+        await act(selector, instances, targets, choose)
 
     asyncio.run(bounded())
 
@@ -227,7 +237,7 @@
 
 
 def test_each_that_waits_has_two_probes_under_way_and_all_together_a_bounded_number():
-    async def act(seeker, instances, targets, choose):
+    async def act(selector, instances, targets, choose):
         waiting = [choose()]
         await turns()
         assert len(targets.asked) == 2
@@ -241,7 +251,7 @@
 
 
 def test_the_most_urgent_that_waits_gets_the_first_good_target():
-    async def act(seeker, instances, targets, choose):
+    async def act(selector, instances, targets, choose):
         later, urgent = choose(rank=2), choose(rank=0)
         await turns()
         # It has room for one: a third of three slots would be slow.
@@ -256,15 +266,15 @@
 
 
 def test_an_answer_s_report_hands_its_target_to_one_that_waits():
-    async def act(seeker, instances, targets, choose):
+    async def act(selector, instances, targets, choose):
         waiting = [choose() for _ in range(3)]
         await turns()
         (instance,) = instances.of("s")
         # One of three slots is taken; a third one would be slow.
-        seeker.heard(instance, TargetStatus(TargetReport(1, 0, 3)))
+        selector.record_status(instance, TargetStatus(TargetReport(1, 0, 3)))
         await turns()
         assert [task.done() for task in waiting] == [True, False, False]
-        assert waiting[0].result().why == "fresh"
+        assert waiting[0].result().reason == "fresh"
         for task in waiting[1:]:
             task.cancel()
 
@@ -272,7 +282,7 @@
 
 
 def test_a_target_that_was_tried_is_not_handed_to_the_same_request():
-    async def act(seeker, instances, targets, choose):
+    async def act(selector, instances, targets, choose):
         again, other = choose(tried=("t-0",)), choose()
         await turns()
         targets.answer("t-0")
@@ -286,7 +296,7 @@
 
 
 def test_a_request_that_is_given_up_leaves_the_queue_and_gives_back_its_target():
-    async def act(seeker, instances, targets, choose):
+    async def act(selector, instances, targets, choose):
         first, second = choose(), choose()
         await turns()
         targets.answer("t-0")
@@ -302,7 +312,7 @@
 
 
 def test_a_probe_that_hangs_does_not_hold_up_the_next():
-    async def act(seeker, instances, targets, choose):
+    async def act(selector, instances, targets, choose):
         waiting = choose()
         await turns()
         assert len(targets.asked) == 2
@@ -321,10 +331,10 @@
 
 
 def test_a_target_that_asks_for_rest_is_not_handed_to_those_that_wait():
-    async def act(seeker, instances, targets, choose):
+    async def act(selector, instances, targets, choose):
         waiting = choose()
         await turns()
-        seeker.heard(instances.find("t-0"), REST)
+        selector.record_status(instances.find("t-0"), REST)
         await turns()
         assert not waiting.done()
         # A probe answered before does not speak for it any more.
@@ -338,29 +348,29 @@
 
 
 def test_nobody_waits_once_the_last_target_rests_for_longer():
-    async def act(seeker, instances, targets, choose):
+    async def act(selector, instances, targets, choose):
         waiting = [choose(), choose(rank=2)]
         await turns()
-        seeker.heard(instances.find("t-0"), REST)
+        selector.record_status(instances.find("t-0"), REST)
         await turns()
         assert not any(task.done() for task in waiting)
-        seeker.heard(instances.find("t-1"), REST)
+        selector.record_status(instances.find("t-1"), REST)
         assert await asyncio.gather(*waiting) == [None, None]
         assert await choose() is None
-        assert 29 < seeker.rest_left("s") <= 30
+        assert 29 < selector.backoff_left("s") <= 30
 
     queued([("hall-a", "t-0"), ("hall-a", "t-1")], act)
 
 
 def test_a_rest_that_ends_in_time_is_waited_for():
-    async def act(seeker, instances, targets, choose):
-        seeker.heard(instances.find("t-0"), SHORT_REST)
+    async def act(selector, instances, targets, choose):
+        selector.record_status(instances.find("t-0"), SHORT_REST)
         waiting = choose()
         await turns()
         assert not targets.asked
         while not targets.asked:
             await asyncio.sleep(0.001)
-        assert seeker.rest_left("s") == 0.0
+        assert selector.backoff_left("s") == 0.0
         targets.answer("t-0")
         assert (await waiting).instance.name == "t-0"
 
@@ -368,11 +378,11 @@
 
 
 def test_a_probe_that_is_turned_away_asks_for_rest_too():
-    async def act(seeker, instances, targets, choose):
+    async def act(selector, instances, targets, choose):
         waiting = choose()
         await turns()
         targets.waiting.pop("t-0").set_result(ProbeResult("t-0", healthy=False, status=REST))
         assert await waiting is None
-        assert seeker.rest_left("s") > 29
+        assert selector.backoff_left("s") > 29
 
     queued([("hall-a", "t-0")], act)
