--- a/dunlinnotch/coordination/requests/forward.py
+++ b/dunlinnotch/coordination/requests/forward.py
@@ -1,9 +1,8 @@
-"""Take one caller's request from its head to its end, on the event loop.
+"""Forward the requests of callers to targets, on the event loop.
 
-The path is written straight down: match, ask a few targets, send, again where
-that is safe, relay the answer.  What was known when a request came may be
-outdated when it is sent, so kind, service and target are looked up anew for
-each attempt.
+For each request: match its kind, select a target, send, retry where that is safe,
+and relay the answer.  Settings and targets may change while a request waits, so
+kind, service and target are determined anew for each attempt.
 """
 
 from __future__ import annotations
@@ -19,7 +18,7 @@
 from dunlinnotch.coordination.requests.crash_guard import TrackedRequest
 from dunlinnotch.coordination.requests.fingerprint import fingerprint
 from dunlinnotch.coordination.requests.first_attempts import FirstAttempts
-from dunlinnotch.coordination.requests.run import Ending, Run, Try
+from dunlinnotch.coordination.requests.run import Attempt, Ending, Run
 from dunlinnotch.protocol.attempt import BodyCutError, CallerGoneError
 from dunlinnotch.protocol.outcome import Outcome, Reason
 from dunlinnotch.protocol.relay import Answered, Broken, NotRun, NotSent
@@ -41,25 +40,35 @@
     from dunlinnotch.state.target_status import TargetStatus
     from dunlinnotch.types import Seconds
 
-#: Bodies up to this size are held, so that a refused request can be sent elsewhere.
-_HOLD = 256 * 1024
-#: Answers up to this size are read whole before their head goes out.
-_READ_FIRST = 64 * 1024
-#: Part of the target latency for which a request waits for a good target.
-_WAIT_SHARE = 0.2
-#: When to come back, at least, in seconds.
-_COME_BACK_S = 0.05
-#: When to come back to a box that does not know yet what is in force, in seconds.
-_COME_BACK_UNKNOWING_S = 0.3
+#: Request bodies up to this size are buffered, so that they can be sent again.
+_MAX_BUFFERED_REQUEST_BYTES = 256 * 1024
+#: Answers up to this size are read completely before their head is relayed, so that an
+#: answer that breaks off can still be retried or replaced by an error.
+_MAX_BUFFERED_ANSWER_BYTES = 64 * 1024
+#: Part of the target latency that a request may spend in the queue for a target.
+_QUEUE_LATENCY_FRACTION = 0.2
+_MIN_RETRY_DELAY_S = 0.05
+_RETRY_DELAY_WITHOUT_SETTINGS_S = 0.3
 
 _log = logging.getLogger(__name__)
 
 
 class ForwardObserver(Protocol):
-    """Is told of the end of each request, for metrics."""
+    """Observes the end of each request, for metrics."""
 
     def request_ended(self, kind: str, ending: Ending, took: Seconds, sends: int) -> None:
-        """Note the end of a request; ``sends`` targets were sent it."""
+        """Record the end of a request.
+
+        Parameters
+        ----------
+        kind : str
+            Empty if no kind matched.
+        ending : Ending
+        took : float
+            Seconds since the request arrived.
+        sends : int
+            Targets that the request was sent to.
+        """
 
 
 class Forwarder:
@@ -68,17 +77,17 @@
     Parameters
     ----------
     routes : callable
-        Returns the route table in force, or None while none is known.
+        Returns the active route table, or None while none is known.
     settings_age : callable
-        Returns the seconds since the settings were last known to be the newest.
+        Returns the seconds since the settings were last confirmed to be the newest.
     catching_up : callable
-        Returns whether the box stood still and does not know yet what has changed.
+        Returns whether the process was paused and has not yet learned what has changed.
     instances : InstanceList
     chooser : FreshChooser
     times : WorkTimes
     selector : TargetSeeker
     make_retry_share : callable
-        Makes the repeat budget of a service.
+        Creates the retry budget of a service.
     guard : CrashGuard
     targets : TargetPort
     observer : ForwardObserver
@@ -115,51 +124,63 @@
         self._rng = rng
         self._loop = asyncio.get_running_loop()
         self._retry_shares: dict[str, RepeatShare] = {}
-        self._points: dict[str, float] = {}
+        self._split_points: dict[str, float] = {}
         self._first_attempts = FirstAttempts()
         self._running: set[Run] = set()
 
     @property
     def in_flight(self) -> int:
-        """Requests under way."""
+        """Number of requests in progress."""
         return len(self._running)
 
     def cancel_all(self) -> None:
-        """Give each request under way its final answer now: the box ends."""
+        """Answer every request in progress now, because the box is stopping."""
         for run in self._running:
             run.stopping = True
-            if run.scope is not None:
-                run.scope.reschedule(self._loop.time())
+            if run.timeout_scope is not None:
+                run.timeout_scope.reschedule(self._loop.time())
 
     def retry_share(self, service: str) -> RepeatShare:
-        """Return the repeat budget of a service."""
-        found = self._retry_shares.get(service)
-        if found is None:
-            found = self._retry_shares[service] = self._make_retry_share()
-        return found
+        """Return the retry budget of a service."""
+        share = self._retry_shares.get(service)
+        if share is None:
+            share = self._retry_shares[service] = self._make_retry_share()
+        return share
 
     def configure_retry_shares(self, *, ratio: float, slack: float, window: Seconds) -> None:
-        """Change the budget of repeats; what was spent still counts."""
+        """Change the retry budgets; retries already made still count.
+
+        Parameters
+        ----------
+        ratio : float
+            Retries allowed for each request.
+        slack : float
+            Retries allowed in addition, in each window.
+        window : float
+            Length of the window in seconds.
+        """
         for share in self._retry_shares.values():
             share.ratio, share.slack, share.window = ratio, slack, window
 
     def set_boxes(self, boxes: int) -> None:
-        """Set by how many boxes the budget of repeats is shared."""
+        """Set the number of boxes that share the retry budgets."""
         for share in self._retry_shares.values():
             share.boxes = boxes
 
     def keep_only(self, kinds: set[str]) -> None:
-        """Forget kinds that are no more."""
+        """Drop what is known of kinds other than ``kinds``."""
         self._first_attempts.keep_only(kinds)
 
     async def serve(
         self, request: CallerRequest, parts: AsyncIterator[bytes], reply: ReplyPort
     ) -> Ending:
-        """Serve one request; cancelled when its caller has gone."""
-        run = Run(request, BufferedBody(parts), reply, point=0.0, first_try=request.arrived)
+        """Serve one request; the task is cancelled if the caller disconnects."""
+        run = Run(
+            request, BufferedBody(parts), reply, split_point=0.0, first_attempt_at=request.arrived
+        )
         self._running.add(run)
         try:
-            ending = await self._matched(run)
+            ending = await self._match_and_attempt(run)
         except asyncio.CancelledError:
             self._end(run, Ending(Outcome.UNKNOWN, 0, Reason.CALLER_GONE, "the caller left"))
             raise
@@ -176,27 +197,25 @@
         self._observer.request_ended(kind, ending, took, run.sends)
         run.log(ending, took=took, settings_age=self._settings_age())
 
-    # -- matching, time and refusals
-
-    async def _matched(self, run: Run) -> Ending:
+    async def _match_and_attempt(self, run: Run) -> Ending:
         request = run.request
-        missing = self._look_up(run)
-        if missing is not None:
-            return self._refuse(run, missing)
+        refusal = self._match(run)
+        if refusal is not None:
+            return self._refuse(run, refusal)
         assert run.kind is not None
-        run.point = self._next_point(run.kind)
+        run.split_point = self._next_split_point(run.kind)
         left = request.deadline - request.arrived
-        run.first_try -= self._first_attempts.elapsed_since_first(run.kind.name, left)
+        run.first_attempt_at -= self._first_attempts.elapsed_since_first(run.kind.name, left)
         until = min(request.deadline, request.arrived + run.kind.timeout)
         ending: Ending | None = None
         try:
-            async with asyncio.timeout_at(until) as run.scope:
-                await run.body.buffer(_HOLD)
+            async with asyncio.timeout_at(until) as run.timeout_scope:
+                await run.body.buffer(_MAX_BUFFERED_REQUEST_BYTES)
                 run.tracked = TrackedRequest(fingerprint(request, run.body.buffered))
-                ending = await self._attempts(run)
+                ending = await self._attempt_until_settled(run)
         except TimeoutError:
             if ending is None:
-                ending = self._out_of_time(run)
+                ending = self._timeout_ending(run)
         except BodyCutError as error:
             ending = Ending(Outcome.NOT_RUN, 400, Reason.BODY_BROKEN, str(error))
             if run.may_have_run:
@@ -206,14 +225,14 @@
         if ending.outcome is Outcome.ANSWERED:
             return ending
         if ending.outcome is Outcome.NOT_RUN and run.may_have_run:
-            # The last target did not run it, but one before may have.
+            # An attempt before the last one may have run the request.
             ending = Ending(Outcome.UNKNOWN, 502, ending.reason, ending.detail)
         return self._refuse(run, ending)
 
-    def _look_up(self, run: Run) -> Ending | None:
-        """Match the request by the settings in force now."""
+    def _match(self, run: Run) -> Ending | None:
+        """Match the request by the active settings; return a refusal if that fails."""
         if self._catching_up():
-            detail = "the box stood still and learns what has changed"
+            detail = "the box was paused and is learning what has changed"
             return Ending(Outcome.NOT_RUN, 503, Reason.CATCHING_UP, detail)
         table = self._routes()
         if table is None:
@@ -224,100 +243,108 @@
             return Ending(Outcome.NOT_RUN, 404, Reason.KIND_UNKNOWN, "no request kind matches")
         return None
 
-    def _next_point(self, kind: RequestKind) -> float:
-        """Return points that fill 0 to 1 evenly, so that shares hold over few requests."""
-        point = self._points.get(kind.name)
+    def _next_split_point(self, kind: RequestKind) -> float:
+        """Return the next point of a low-discrepancy sequence over 0 to 1.
+
+        Such points are spread evenly, so that a traffic split holds over few requests too.
+        """
+        point = self._split_points.get(kind.name)
         point = self._rng.random() if point is None else (point + 0.6180339887498949) % 1.0
-        self._points[kind.name] = point
+        self._split_points[kind.name] = point
         return point
 
     @staticmethod
-    def _out_of_time(run: Run) -> Ending:
+    def _timeout_ending(run: Run) -> Ending:
         if run.stopping and run.may_have_run:
-            return Ending(Outcome.UNKNOWN, 504, Reason.BOX_DRAINED, "no answer before the box ends")
+            return Ending(
+                Outcome.UNKNOWN, 504, Reason.BOX_DRAINED, "no answer before the box stopped"
+            )
         if run.stopping:
-            return Ending(Outcome.NOT_RUN, 503, Reason.BOX_DRAINED, "no target before the box ends")
+            return Ending(
+                Outcome.NOT_RUN, 503, Reason.BOX_DRAINED, "no target before the box stopped"
+            )
         if run.may_have_run:
             return Ending(Outcome.UNKNOWN, 504, Reason.DEADLINE_EXPIRED, "no answer in time")
         return Ending(Outcome.NOT_RUN, 503, Reason.DEADLINE_EXPIRED, "no target in time")
 
     def _refuse(self, run: Run, ending: Ending) -> Ending:
-        """Tell the caller at once; an answer under way is cut."""
+        """Send a refusal to the caller, unless part of an answer has been sent."""
         if run.reply.begun:
             return ending
         headers = []
         if ending.status == 503:
-            headers.append(Header("Retry-After", f"{self._come_back(run, ending):.3f}"))
+            headers.append(Header("Retry-After", f"{self._retry_delay(run, ending):.3f}"))
         run.reply.reply(ending.status, headers, b"")
         return ending
 
-    def _come_back(self, run: Run, ending: Ending) -> Seconds:
-        """Return after how long a refused caller may come back."""
+    def _retry_delay(self, run: Run, ending: Ending) -> Seconds:
+        """Return the seconds after which a refused caller may retry."""
         if ending.retry_after is not None:
             return ending.retry_after
-        rest = self._selector.rest_left(run.service)
-        unknowing = ending.reason in (Reason.NO_SETTINGS, Reason.CATCHING_UP)
-        wait = _COME_BACK_UNKNOWING_S if unknowing else _COME_BACK_S
+        backoff = self._selector.rest_left(run.service)
+        without_settings = ending.reason in (Reason.NO_SETTINGS, Reason.CATCHING_UP)
+        delay = _RETRY_DELAY_WITHOUT_SETTINGS_S if without_settings else _MIN_RETRY_DELAY_S
         if run.kind is not None:
-            wait += run.kind.target_latency * _WAIT_SHARE * self._rng.random()
-        return rest + wait
+            delay += run.kind.target_latency * _QUEUE_LATENCY_FRACTION * self._rng.random()
+        return backoff + delay
 
-    # -- attempts
-
-    async def _attempts(self, run: Run) -> Ending:
-        last: Ending | None = None
+    async def _attempt_until_settled(self, run: Run) -> Ending:
+        last_failure: Ending | None = None
         while True:
-            missing = self._look_up(run) or self._barred(run)
-            if missing is not None:
-                return last or missing
+            refusal = self._match(run) or self._quarantine_refusal(run)
+            if refusal is not None:
+                return last_failure or refusal
             assert run.kind is not None
             kind = run.kind
-            service = run.service = kind.service_at(run.point)
-            if not run.counted:
-                run.counted = True
+            service = run.service = kind.service_at(run.split_point)
+            if not run.counted_in_budget:
+                run.counted_in_budget = True
                 self.retry_share(service).request()
-            pick = await self._choose(run, kind, service)
-            if pick is None:
-                return last or self._nobody(run, service)
-            if not self._still(run, pick):
-                self._selector.release(pick)
+            selection = await self._choose(run, kind, service)
+            if selection is None:
+                return last_failure or self._no_target_refusal(run, service)
+            if not self._selection_holds(run, selection):
+                self._selector.release(selection)
                 continue
             if run.sends and not self.retry_share(service).take():
-                self._selector.release(pick)
-                return last or self._nobody(run, service)
-            end = await self._attempt(run, kind, pick)
-            settled = await self._settle(run, kind, pick.instance, end)
-            if settled.outcome is Outcome.ANSWERED or not self._may_retry(run, kind, settled):
-                return settled
-            last = settled
-
-    def _barred(self, run: Run) -> Ending | None:
-        """Return the refusal of a request under which targets ended, here or elsewhere."""
-        wait = self._guard.quarantine_left(run.tracked)
-        if not wait:
+                self._selector.release(selection)
+                return last_failure or self._no_target_refusal(run, service)
+            end = await self._attempt(run, kind, selection)
+            ending = await self._handle_result(run, kind, selection.instance, end)
+            if ending.outcome is Outcome.ANSWERED or not self._may_retry(run, kind, ending):
+                return ending
+            last_failure = ending
+
+    def _quarantine_refusal(self, run: Run) -> Ending | None:
+        """Return the refusal if the request is quarantined, else None."""
+        delay = self._guard.quarantine_left(run.tracked)
+        if not delay:
             return None
-        detail = "targets ended under this request each time it was run"
-        return Ending(Outcome.NOT_RUN, 503, Reason.REQUEST_BARRED, detail, retry_after=wait)
+        detail = "targets crashed while serving this request; it is quarantined"
+        return Ending(Outcome.NOT_RUN, 503, Reason.REQUEST_BARRED, detail, retry_after=delay)
+
+    def _selection_holds(self, run: Run, selection: Pick) -> bool:
+        """Return whether a selection is still valid.
 
-    def _still(self, run: Run, pick: Pick) -> bool:
-        """Return whether what the choice rests on still holds after waiting for probes."""
+        Settings, targets and crash reports may have changed since it was made.
+        """
         if self._catching_up():
             return False
         table = self._routes()
         kind = None if table is None else table.match(run.request.host, run.request.path)
-        if kind is None or kind.service_at(run.point) != pick.instance.listed.service:
+        if kind is None or kind.service_at(run.split_point) != selection.instance.listed.service:
             return False
-        instance = pick.instance
+        instance = selection.instance
         if instance.replaced or self._loop.time() < instance.rest_until:
             return False
-        return self._barred(run) is None
+        return self._quarantine_refusal(run) is None
 
-    def _nobody(self, run: Run, service: str) -> Ending:
+    def _no_target_refusal(self, run: Run, service: str) -> Ending:
         if not self._instances.of(service):
             detail = f"service {service!r} has no target"
             return Ending(Outcome.NOT_RUN, 503, Reason.NO_TARGET, detail)
         if self._selector.rest_left(service):
-            detail = f"all targets of service {service!r} want rest"
+            detail = f"all targets of service {service!r} requested back-off"
             return Ending(Outcome.NOT_RUN, 503, Reason.TARGETS_RESTING, detail)
         return Ending(Outcome.NOT_RUN, 503, Reason.QUEUE_FULL, "no target is free in time")
 
@@ -326,14 +353,14 @@
             return False
         return kind.repeatable or not run.may_have_run
 
-    async def _attempt(self, run: Run, kind: RequestKind, pick: Pick) -> AttemptEnd:
-        instance = pick.instance
+    async def _attempt(self, run: Run, kind: RequestKind, selection: Pick) -> AttemptEnd:
+        instance = selection.instance
         now = self._loop.time()
         request = run.request
         left = min(request.deadline, request.arrived + kind.timeout) - now
-        trial = Try(pick, began=now)
-        run.tries.append(trial)
-        run.tried.add(instance.name)
+        attempt = Attempt(selection, began=now)
+        run.attempts.append(attempt)
+        run.tried_instances.add(instance.name)
         run.sends += 1
         run.may_have_run = True
         instance.own += 1
@@ -344,25 +371,25 @@
                 run.body,
                 left=left,
                 instance=instance.name,
-                still=lambda: self._still(run, pick),
-                said=lambda status: self._hear(trial, status),
-                asked=pick.asked,
+                still=lambda: self._selection_holds(run, selection),
+                said=lambda status: self._record_status(attempt, status),
+                asked=selection.asked,
                 once=not kind.repeatable,
             )
-            trial.end = type(end).__name__
+            attempt.result = type(end).__name__
             if isinstance(end, NotRun | Broken):
-                trial.status = end.status
+                attempt.status = end.status
             return end
         finally:
             instance.own -= 1
-            trial.took = self._loop.time() - now
+            attempt.took = self._loop.time() - now
 
-    def _hear(self, trial: Try, status: TargetStatus) -> None:
-        """Take in what a target says of itself beside its answer."""
-        trial.said = status
-        self._selector.heard(trial.pick.instance, status)
+    def _record_status(self, attempt: Attempt, status: TargetStatus) -> None:
+        """Record the status that a target reported in its answer."""
+        attempt.target_status = status
+        self._selector.heard(attempt.selection.instance, status)
 
-    async def _settle(
+    async def _handle_result(
         self, run: Run, kind: RequestKind, instance: Instance, end: AttemptEnd
     ) -> Ending:
         now = self._loop.time()
@@ -370,37 +397,37 @@
             return await self._relay(run, kind, instance, end)
         if isinstance(end, NotSent):
             run.sends -= 1
-            run.may_have_run = run.ran_before
+            run.may_have_run = run.earlier_attempt_may_have_run
             self._chooser.failed(instance, now)
             return Ending(Outcome.NOT_RUN, 503, end.reason, end.detail)
         if isinstance(end, NotRun):
-            run.may_have_run = run.ran_before
+            run.may_have_run = run.earlier_attempt_may_have_run
             if end.elsewhere:
                 self._instances.leave(instance.name)
                 event(_log, "target-replaced", instance=instance.name, target=instance.address)
             else:
-                self._chooser.refused(instance, run.tries[-1].said, now)
+                self._chooser.refused(instance, run.attempts[-1].target_status, now)
             detail = f"the target refused with status {end.status}"
             return Ending(Outcome.NOT_RUN, 503, Reason.TARGET_REFUSED, detail)
         if end.reason is not Reason.BODY_BROKEN:
             self._chooser.failed(instance, now)
-            await self._look_for_end(run, instance)
+            await self._check_for_crash(run, instance)
         return Ending(Outcome.UNKNOWN, 502, end.reason, end.detail)
 
-    async def _look_for_end(self, run: Run, instance: Instance) -> None:
-        """Have the guard note it if the target of the last try has ended."""
-        took = self._loop.time() - run.tries[-1].began
+    async def _check_for_crash(self, run: Run, instance: Instance) -> None:
+        """Let the crash guard check whether the target of the last attempt has crashed."""
+        took = self._loop.time() - run.attempts[-1].began
         await self._guard.check_target(run.tracked, run.request, instance, took=took)
 
     async def _relay(
         self, run: Run, kind: RequestKind, instance: Instance, answered: Answered
     ) -> Ending:
-        """Pass an answer to the caller, to its last byte or not cleanly at all."""
+        """Relay an answer; one that breaks off never ends cleanly for the caller."""
         answer = answered.answer
         head = answer.head
         failed = head.status >= 500
         try:
-            whole = await answer.whole_within(_READ_FIRST)
+            buffered_body = await answer.whole_within(_MAX_BUFFERED_ANSWER_BYTES)
             if failed:
                 self._chooser.failed(instance, self._loop.time())
                 if self._should_retry_failure(run, kind):
@@ -408,53 +435,53 @@
                     return Ending(Outcome.UNKNOWN, 502, Reason.TARGET_BROKEN, detail)
             else:
                 self._chooser.did_well(instance)
-            if whole is not None:
-                run.reply.reply(head.status, head.headers, whole, head.phrase)
+            if buffered_body is not None:
+                run.reply.reply(head.status, head.headers, buffered_body, head.phrase)
             else:
                 run.reply.begin(head.status, head.headers, length=head.length, phrase=head.phrase)
                 async for part in answer.parts():
                     await run.reply.send(part)
                 run.reply.finish()
             if not failed:
-                # Failures are mostly fast, and would make the usual time seem short.
-                took = self._loop.time() - run.tries[-1].began
-                self._times.note(kind.name, run.service, run.tries[-1].pick.start, took)
+                # Failed answers are left out: they are fast and would lower the usual time.
+                took = self._loop.time() - run.attempts[-1].began
+                self._times.note(kind.name, run.service, run.attempts[-1].selection.start, took)
             return Ending(Outcome.ANSWERED, head.status)
         except BodyCutError as error:
             self._chooser.failed(instance, self._loop.time())
-            run.tries[-1].end = "cut"
-            await self._look_for_end(run, instance)
+            run.attempts[-1].result = "cut"
+            await self._check_for_crash(run, instance)
             return Ending(Outcome.UNKNOWN, 502, Reason.TARGET_BROKEN, str(error))
         finally:
-            run.tries[-1].took = self._loop.time() - run.tries[-1].began
+            run.attempts[-1].took = self._loop.time() - run.attempts[-1].began
             answer.close()
 
     def _should_retry_failure(self, run: Run, kind: RequestKind) -> bool:
         if not kind.repeatable or run.sends >= kind.attempts or not run.body.resendable:
             return False
-        others = [i for i in self._instances.of(run.service) if i.name not in run.tried]
+        others = [i for i in self._instances.of(run.service) if i.name not in run.tried_instances]
         return bool(others)
 
     async def _choose(self, run: Run, kind: RequestKind, service: str) -> Pick | None:
-        """Look for a target, at most for a share of the target latency."""
-        since = self._loop.time() if run.sends else run.request.arrived
-        # What counts for a caller is the time since it first asked, not since it came back.
-        in_time = min(run.request.deadline, run.first_try + kind.target_latency)
-        late = min(run.request.deadline, run.request.arrived + kind.timeout)
-        usual = self._times.usual(kind.name)
+        """Select a target, waiting for a part of the target latency at most."""
+        queued_from = self._loop.time() if run.sends else run.request.arrived
+        # The caller's latency counts from its first attempt, not from its last retry.
+        latency_goal_at = min(run.request.deadline, run.first_attempt_at + kind.target_latency)
+        timeout_at = min(run.request.deadline, run.request.arrived + kind.timeout)
+        usual_s = self._times.usual(kind.name)
         return await self._selector.choose(
             service,
             rank=kind.rank,
-            tried=run.tried,
-            give_up=since + kind.target_latency * _WAIT_SHARE,
-            first_try=run.first_try,
-            start_by=math.inf if usual is None else in_time - GOOD * usual,
-            most=self._most_expected(in_time, usual),
-            most_late=self._most_expected(late, usual),
+            tried=run.tried_instances,
+            give_up=queued_from + kind.target_latency * _QUEUE_LATENCY_FRACTION,
+            first_try=run.first_attempt_at,
+            start_by=math.inf if usual_s is None else latency_goal_at - GOOD * usual_s,
+            most=self._max_latency_ratio(latency_goal_at, usual_s),
+            most_late=self._max_latency_ratio(timeout_at, usual_s),
         )
 
-    def _most_expected(self, until: Seconds, usual: Seconds | None) -> float:
-        """Return how many usual times there are from now until a moment."""
-        if usual is None:
+    def _max_latency_ratio(self, until: Seconds, usual_s: Seconds | None) -> float:
+        """Return the time left until a moment as a multiple of the usual time."""
+        if usual_s is None:
             return math.inf
-        return max(0.0, until - self._loop.time()) / usual
+        return max(0.0, until - self._loop.time()) / usual_s
--- a/dunlinnotch/coordination/requests/run.py
+++ b/dunlinnotch/coordination/requests/run.py
@@ -1,4 +1,4 @@
-"""One request under way: what it came to so far, and its line in the log."""
+"""State of one request in progress, and its line in the log."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ending:
-    """How a request ended.
+    """Result of one request, as the caller sees it.
 
     Parameters
     ----------
@@ -35,7 +35,8 @@
     reason : Reason or None
     detail : str
     retry_after : float or None
-        Seconds after which the caller may come back, if that is known.
+        Seconds after which the caller may retry; None if no better delay is known than
+        the default.
     """
 
     outcome: Outcome
@@ -46,73 +47,122 @@
 
 
 @dataclass(slots=True)
-class Try:
-    """One target that a request was sent to, for the log.
+class Attempt:
+    """One attempt to send a request to a target, for the log.
 
     Parameters
     ----------
-    pick : Pick
-    began, took : float
-    end : str
-        Name of the :data:`~.relay.AttemptEnd`.
+    selection : Pick
+    began : float
+        Monotonic seconds at which the attempt started.
+    took : float
+        Duration in seconds.
+    result : str
+        Class name of the :data:`~.relay.AttemptEnd`, or ``cut`` if the answer broke off;
+        empty while the attempt runs.
     status : int
-        Of an answer that did not go to the caller; 0 if there was none.
-    said : TargetStatus
-        What the target said of itself beside its answer.
+        HTTP status of an answer that was not relayed to the caller; 0 if there was none.
+    target_status : TargetStatus
+        Load and back-off that the target reported in its answer.
     """
 
-    pick: Pick
+    selection: Pick
     began: Seconds
     took: Seconds = 0.0
-    end: str = ""
+    result: str = ""
     status: int = 0
-    said: TargetStatus = TargetStatus()
+    target_status: TargetStatus = TargetStatus()
 
     def as_fields(self, arrived: Seconds) -> dict[str, object]:
-        """Return what the log tells of it; ``began_ms`` counts from the request's arrival."""
+        """Return the fields to log.
+
+        Parameters
+        ----------
+        arrived : float
+            Monotonic seconds at which the request arrived; ``began_ms`` counts from it.
+        """
         return {
-            "target": self.pick.instance.name,
-            "why": self.pick.why,
-            "expected": round(self.pick.expected, 2),
-            "ahead": self.pick.start.ahead,
-            "slowness": self.pick.start.slowness,
-            "report_age_ms": round(self.pick.start.report_age * 1000),
+            "target": self.selection.instance.name,
+            "why": self.selection.why,
+            "expected": round(self.selection.expected, 2),
+            "ahead": self.selection.start.ahead,
+            "slowness": self.selection.start.slowness,
+            "report_age_ms": round(self.selection.start.report_age * 1000),
             "began_ms": round((self.began - arrived) * 1000, 1),
             "took_ms": round(self.took * 1000, 1),
-            "end": self.end,
+            "end": self.result,
             "status": self.status,
-            "rest_s": self.said.rest,
+            "rest_s": self.target_status.rest,
         }
 
 
 @dataclass(slots=True, eq=False)
 class Run:
-    """One request under way; ``first_try`` is when its caller first asked, in monotonic s."""
+    """State of one request in progress.
+
+    Parameters
+    ----------
+    request : CallerRequest
+    body : BufferedBody
+    reply : ReplyPort
+    split_point : float
+        Position from 0 to 1 in the kind's traffic split; it selects the service.
+    first_attempt_at : float
+        Monotonic seconds at which the caller made its first attempt, as far as known.
+    tracked : TrackedRequest
+    kind : RequestKind or None
+        None until the request has been matched.
+    service : str
+    version : int
+        Version of the settings by which the request was matched last.
+    sends : int
+        Targets that the request has been sent to.
+    may_have_run : bool
+        Whether a target may have run the request.
+    counted_in_budget : bool
+        Whether the retry budget has counted the request.
+    stopping : bool
+        Whether the box is stopping and has cancelled the request.
+    timeout_scope : asyncio.Timeout or None
+        The timeout that bounds the request.
+    attempts : list of Attempt
+    tried_instances : set of str
+        Names of the instances that the request has been sent to.
+    """
 
     request: CallerRequest
     body: BufferedBody
     reply: ReplyPort
-    point: float
-    first_try: Seconds
+    split_point: float
+    first_attempt_at: Seconds
     tracked: TrackedRequest = field(default_factory=lambda: TrackedRequest(Fingerprint("", "")))
     kind: RequestKind | None = None
     service: str = ""
     version: int = 0
     sends: int = 0
     may_have_run: bool = False
-    counted: bool = False
+    counted_in_budget: bool = False
     stopping: bool = False
-    scope: asyncio.Timeout | None = None
-    tries: list[Try] = field(default_factory=list)
-    tried: set[str] = field(default_factory=set)
+    timeout_scope: asyncio.Timeout | None = None
+    attempts: list[Attempt] = field(default_factory=list)
+    tried_instances: set[str] = field(default_factory=set)
 
     @property
-    def ran_before(self) -> bool:
-        """Whether an attempt before the last one may have run."""
-        return any(t.end not in ("NotSent", "NotRun") for t in self.tries[:-1])
+    def earlier_attempt_may_have_run(self) -> bool:
+        """Whether the request may have run in an attempt before the last one."""
+        return any(attempt.result not in ("NotSent", "NotRun") for attempt in self.attempts[:-1])
 
     def log(self, ending: Ending, *, took: Seconds, settings_age: Seconds) -> None:
-        """Log how the request ended, and by what it was decided."""
+        """Log the result of the request and what it was decided by.
+
+        Parameters
+        ----------
+        ending : Ending
+        took : float
+            Seconds since the request arrived.
+        settings_age : float
+            Seconds since the settings were last confirmed to be the newest.
+        """
         request, kind = self.request, self.kind
         event(
             _log,
@@ -131,5 +181,5 @@
             detail=ending.detail,
             took_ms=round(took * 1000, 1),
             target_latency_ms=None if kind is None else kind.target_latency * 1000,
-            tries=[t.as_fields(request.arrived) for t in self.tries],
+            tries=[attempt.as_fields(request.arrived) for attempt in self.attempts],
         )
