--- a/dunlinnotch/coordination/requests/bodies.py
+++ b/dunlinnotch/coordination/requests/bodies.py
@@ -1,4 +1,4 @@
-"""The body of a caller's request, held whole while it is small."""
+"""Buffering of the body of a caller's request, so that it can be sent again."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 class BufferedBody:
-    """A request's body that can be sent again if all of it is held.
+    """A request's body, which can be sent again if all of it is buffered.
 
     Parameters
     ----------
     parts : async iterator of bytes
-        As it comes from the caller.
+        The body as it arrives from the caller.
     """
 
     def __init__(self, parts: AsyncIterator[bytes]) -> None:
@@ -24,7 +24,7 @@
         self._streamed = False
 
     async def buffer(self, max_bytes: int) -> None:
-        """Read until the end, or until more than ``max_bytes`` bytes are held."""
+        """Read until the end, or until more than ``max_bytes`` bytes are buffered."""
         async for part in self._parts:
             self._buffer += part
             if len(self._buffer) > max_bytes:
@@ -33,21 +33,21 @@
 
     @property
     def whole(self) -> bytes | None:
-        """The body if all of it is held."""
+        """The complete body, or None if only a part of it is buffered."""
         return bytes(self._buffer) if self._complete else None
 
     @property
     def buffered(self) -> bytearray:
-        """What is held of the body."""
+        """The part of the body that is buffered."""
         return self._buffer
 
     @property
     def resendable(self) -> bool:
-        """Whether the body may be sent (again) from its start."""
+        """Whether the body can be sent from its start."""
         return self._complete or not self._streamed
 
     async def parts(self) -> AsyncIterator[bytes]:
-        """Yield the body, once if it is not held whole."""
+        """Yield the body; this works only once unless all of it is buffered."""
         self._streamed = True
         held, self._buffer = bytes(self._buffer), self._buffer if self._complete else bytearray()
         yield held
--- a/dunlinnotch/coordination/requests/crash_guard.py
+++ b/dunlinnotch/coordination/requests/crash_guard.py
@@ -1,4 +1,4 @@
-"""Keep requests that end the targets that run them from reaching more of them."""
+"""Stop requests that crash the targets serving them from reaching further targets."""
 
 from __future__ import annotations
 
@@ -21,11 +21,16 @@
 
 
 class TrackedRequest:
-    """One request under way, with the targets that ended under it.
+    """One request in progress, with the targets that crashed while serving it.
 
     Parameters
     ----------
     fingerprint : Fingerprint
+
+    Attributes
+    ----------
+    crashed : dict of str to Span
+        By start of the instance, the time for which it served the request.
     """
 
     __slots__ = ("crashed", "fingerprint")
@@ -36,19 +41,19 @@
 
 
 class CrashGuard:
-    """Judge requests by the targets that ended under them, at this box and others.
+    """Quarantine requests by the targets that crashed while serving them, at any box.
 
     Parameters
     ----------
     log : CrashLog
     targets : TargetPort
     publish : callable
-        Is given the evidence that this box has seen and others have not.
+        Receives the crash records that this box has added and other boxes lack.
 
     Attributes
     ----------
     targets_crashed : int
-        Targets that ended while they had a request of this box.
+        Targets that crashed while they served a request of this box.
     """
 
     def __init__(
@@ -60,17 +65,17 @@
         self.targets_crashed = 0
 
     def quarantine_left(self, tracked: TrackedRequest) -> Seconds:
-        """Return how long a request is to be sent to no target; 0 if it may be sent."""
+        """Return the seconds for which a request stays quarantined; 0 if it may be sent."""
         if not tracked.crashed:
             return max(self._crash_log.barred_for(key) for key in tracked.fingerprint)
         now = self._crash_log.now
-        known = [self._crash_log.with_ended(key, tracked.crashed) for key in tracked.fingerprint]
-        return max(evidence.barred_for(now) for evidence in known)
+        combined = [self._crash_log.with_ended(key, tracked.crashed) for key in tracked.fingerprint]
+        return max(record.barred_for(now) for record in combined)
 
     async def check_target(
         self, tracked: TrackedRequest, request: CallerRequest, instance: Instance, *, took: Seconds
     ) -> None:
-        """Note if a target that broke off a request has ended.
+        """Record a crash if the target that broke off a request has gone.
 
         Parameters
         ----------
@@ -97,23 +102,30 @@
         )
 
     def record_end(self, tracked: TrackedRequest, *, answered: bool) -> None:
-        """Take in the end of a request, and tell others what they should know of it.
+        """Record the end of a request and publish the crash records that changed.
+
+        Parameters
+        ----------
+        tracked : TrackedRequest
+        answered : bool
+            Whether a target answered the request.
 
         Notes
         -----
-        Targets that ended under a request that another one then answered ended for
-        another reason, so nothing is said of them.  That spares most messages: of 56
-        repeatable requests whose first target ended (10 s of logs of a service with such a
-        request), 35 were answered by their second.
+        If another target then answered the request, the crashes had another cause and are
+        not reported.
         """
-        ends = [
-            self._note_end(key, tracked.crashed, answered=answered) for key in tracked.fingerprint
+        records = [
+            self._record_outcome(key, tracked.crashed, answered=answered)
+            for key in tracked.fingerprint
         ]
-        new = [evidence for evidence in ends if evidence is not None]
-        if new:
-            self._publish(new)
+        changed = [record for record in records if record is not None]
+        if changed:
+            self._publish(changed)
 
-    def _note_end(self, key: str, ended: Mapping[str, Span], *, answered: bool) -> Evidence | None:
+    def _record_outcome(
+        self, key: str, ended: Mapping[str, Span], *, answered: bool
+    ) -> Evidence | None:
         if answered:
             return self._crash_log.note_answered(key)
         return self._crash_log.note_ended(key, ended) if ended else None
--- a/dunlinnotch/coordination/requests/fingerprint.py
+++ b/dunlinnotch/coordination/requests/fingerprint.py
@@ -1,4 +1,4 @@
-"""Tell whether two requests are the same one, asked again under another id."""
+"""Fingerprints that identify a request when it is sent again under another id."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Fingerprint(NamedTuple):
-    """Two texts of 32 hexadecimal digits by which a request is known again.
+    """Two hashes of 32 hexadecimal digits that identify a request.
 
     Parameters
     ----------
@@ -23,7 +23,8 @@
 
     Notes
     -----
-    Ids, other headers, and whether a body comes in chunks change between attempts.
+    Ids, other headers and chunked encoding are left out, as they may differ between
+    attempts of the same request.
     """
 
     content: str
@@ -31,13 +32,13 @@
 
 
 def fingerprint(request: CallerRequest, body: bytes | bytearray) -> Fingerprint:
-    """Return by what a request is known again.
+    """Return the fingerprint of a request.
 
     Parameters
     ----------
     request : CallerRequest
     body : bytes-like
-        The body, or the part of it that is held.
+        The body, or the part of it that is buffered.
     """
     host = request.host.lower()
     path = request.path.partition("?")[0]
--- a/dunlinnotch/coordination/requests/first_attempts.py
+++ b/dunlinnotch/coordination/requests/first_attempts.py
@@ -1,4 +1,4 @@
-"""Tell for how long callers have been asking, by the time that they say they have left."""
+"""Estimate when callers made their first attempt, from the time that they state as left."""
 
 from __future__ import annotations
 
@@ -9,70 +9,69 @@
 if TYPE_CHECKING:
     from dunlinnotch.types import Seconds
 
-#: Requests of a kind by which its first tries are judged: some seconds at a box.
-_LATELY = 64
-#: First tries are judged anew after so many requests, and not before there were so many.
-_EVERY = 8
-#: Stated times are the same if they are so once rounded to this, in seconds.
-_ROUNDED_S = 0.01
-#: Part of the requests that state the same time if that is the time of a first try: also
-#: where each caller comes back twice, a third are first tries.
-_COMMON = 0.2
+#: Last requests of a kind that are considered.
+_WINDOW_REQUESTS = 64
+_UPDATE_EVERY_REQUESTS = 8
+#: Stated times that are equal when rounded to this count as the same.
+_ROUNDING_S = 0.01
+#: Minimum share of requests that state the same time for it to count as that of first
+#: attempts.  Where each caller retries twice, a third of the requests are first attempts.
+_MIN_COMMON_SHARE = 0.2
 
 
 @dataclass(slots=True)
-class _Stated:
-    """Times stated with the last requests of one kind, in steps of the rounding."""
+class _StatedTimes:
+    """Times stated with the last requests of one kind, in multiples of the rounding."""
 
-    steps: deque[int] = field(default_factory=lambda: deque(maxlen=_LATELY))
-    number: int = 0
-    #: What first tries state; 0 if that is not known.
-    first: int = 0
+    steps: deque[int] = field(default_factory=lambda: deque(maxlen=_WINDOW_REQUESTS))
+    request_count: int = 0
+    #: Time stated with first attempts; 0 if not known.
+    first_step: int = 0
 
-    def note(self, step: int) -> None:
+    def record(self, step: int) -> None:
         self.steps.append(step)
-        self.number += 1
-        if self.number % _EVERY == 0:
-            self.first = self._longest_common()
+        self.request_count += 1
+        if self.request_count % _UPDATE_EVERY_REQUESTS == 0:
+            self.first_step = self._max_common()
 
-    def _longest_common(self) -> int:
+    def _max_common(self) -> int:
         counts = Counter(self.steps)
-        least = _COMMON * len(self.steps)
-        return max((step for step, count in counts.items() if count >= least), default=0)
+        min_count = _MIN_COMMON_SHARE * len(self.steps)
+        return max((step for step, count in counts.items() if count >= min_count), default=0)
 
 
 class FirstAttempts:
-    """What the first tries of each kind state as the time that their callers wait.
+    """Time that callers state with their first attempts, by request kind.
 
     Notes
     -----
-    A caller that comes back after a refusal waits no longer than it meant to at first, so
-    it states less.  First tries of a kind mostly state the same; where no time is common,
-    each request counts as a first try.
+    A caller that retries after a refusal keeps its deadline, so it states less time than
+    at its first attempt.  First attempts of a kind mostly state the same time.  Where no
+    time is common, each request counts as a first attempt.
     """
 
     def __init__(self) -> None:
-        self._stated: dict[str, _Stated] = {}
+        self._stated_by_kind: dict[str, _StatedTimes] = {}
 
     def elapsed_since_first(self, kind: str, left: Seconds) -> Seconds:
-        """Return for how long a caller has been asking.
+        """Return the time since a caller made its first attempt.
 
         Parameters
         ----------
         kind : str
         left : float
-            Seconds for which it says that it still waits.
+            Seconds for which the caller still waits, as it states.
 
         Returns
         -------
         float
-            Seconds; 0 for a first try, and where that can't be told.
+            Seconds; 0 for a first attempt, and where that is not known.
         """
-        stated = self._stated.setdefault(kind, _Stated())
-        stated.note(round(left / _ROUNDED_S))
-        return max(0.0, stated.first * _ROUNDED_S - left) if stated.first else 0.0
+        stated = self._stated_by_kind.setdefault(kind, _StatedTimes())
+        stated.record(round(left / _ROUNDING_S))
+        return max(0.0, stated.first_step * _ROUNDING_S - left) if stated.first_step else 0.0
 
     def keep_only(self, kinds: set[str]) -> None:
-        """Forget kinds that are no more."""
-        for kind in self._stated.keys() - kinds:
-            del self._stated[kind]
+        """Drop what is known of kinds other than ``kinds``."""
+        for kind in self._stated_by_kind.keys() - kinds:
+            del self._stated_by_kind[kind]
--- a/tests/test_crash_guard.py
+++ b/tests/test_crash_guard.py
@@ -1,4 +1,4 @@
-"""Whom a box takes for a request that ends its targets, and whom not."""
+"""Which requests a box quarantines for crashing targets."""
 
 from __future__ import annotations
 
@@ -15,29 +15,29 @@
 from dunlinnotch.state.instances import Instance, ListedTarget
 from tests.stream_world import call, stream_world, until
 from tests.test_crashes import targets
-from tests.test_crashing import WORST, ask_again, deadly_world, lost
+from tests.test_crashing import WORST, add_crashing_targets, crash_count, send_worst
 
-WORST_KNOWN = Fingerprint("f", "o")
+FINGERPRINT = Fingerprint("f", "o")
 REQUEST = CallerRequest("one", "GET", "/read/a", "books", (), 0.0, 1.0)
 
 
 class Targets:
-    """Targets of which some have ended."""
+    """Targets of which some no longer listen."""
 
-    def __init__(self, *ended):
-        self.ended = ended
+    def __init__(self, *gone):
+        self.gone = gone
 
     async def has_ended(self, address):
-        return address in self.ended
+        return address in self.gone
 
 
-def guard(*ended):
-    told = []
+def guard(*gone):
+    published = []
     clock = Clock()
     log = CrashLog(clock=clock)
-    crash_guard = CrashGuard(log, Targets(*ended), publish=told.extend)
+    crash_guard = CrashGuard(log, Targets(*gone), publish=published.extend)
     crash_guard.clock = clock
-    return crash_guard, log, told
+    return crash_guard, log, published
 
 
 def instance(name):
@@ -45,27 +45,27 @@
 
 
 def check_targets(crash_guard, tracked, *names):
-    """Have some targets break off a request, one after the other."""
+    """Check some targets in turn, as if each had broken off the request."""
     for name in names:
         crash_guard.clock.now += 1
         asyncio.run(crash_guard.check_target(tracked, REQUEST, instance(name), took=0.5))
 
 
-def test_a_target_that_only_broke_off_an_answer_is_nothing_against_a_request():
-    crash_guard, log, told = guard("a", "b")
-    tracked = TrackedRequest(WORST_KNOWN)
+def test_a_target_that_broke_off_but_still_listens_is_no_crash():
+    crash_guard, log, published = guard("a", "b")
+    tracked = TrackedRequest(FINGERPRINT)
     check_targets(crash_guard, tracked, "a", "b", "c", "d")
     crash_guard.record_end(tracked, answered=False)
     assert set(log.find("f").targets) == {"a", "b"}
     assert crash_guard.quarantine_left(tracked) == 0
     assert crash_guard.targets_crashed == 2
-    assert [evidence.request for evidence in told] == ["f", "o"]
+    assert [record.request for record in published] == ["f", "o"]
 
 
-def test_targets_of_the_request_under_way_count_with_those_known():
+def test_crashes_of_the_current_request_add_to_recorded_ones():
     crash_guard, log, _ = guard("a", "b", "c")
     log.note_ended("f", targets(1))
-    tracked = TrackedRequest(WORST_KNOWN)
+    tracked = TrackedRequest(FINGERPRINT)
     check_targets(crash_guard, tracked, "a")
     assert crash_guard.quarantine_left(tracked) == 0
     check_targets(crash_guard, tracked, "b")
@@ -73,24 +73,24 @@
     assert log.barred_for("f") == 0
 
 
-def test_a_request_that_was_at_the_wrong_target_and_is_answered_is_told_of_to_nobody():
-    crash_guard, log, told = guard("a")
-    tracked = TrackedRequest(WORST_KNOWN)
+def test_crashes_are_not_published_if_the_request_is_answered():
+    crash_guard, log, published = guard("a")
+    tracked = TrackedRequest(FINGERPRINT)
     check_targets(crash_guard, tracked, "a")
     crash_guard.record_end(tracked, answered=True)
-    assert told == []
+    assert published == []
     assert len(log) == 0
 
 
-def test_an_answer_takes_back_what_others_told():
-    crash_guard, log, told = guard()
+def test_an_answer_clears_crashes_reported_by_others():
+    crash_guard, log, published = guard()
     log.note_ended("f", targets(BAR_AT - 1))
-    crash_guard.record_end(TrackedRequest(WORST_KNOWN), answered=True)
-    assert [evidence.answers for evidence in told] == [1]
+    crash_guard.record_end(TrackedRequest(FINGERPRINT), answered=True)
+    assert [record.answers for record in published] == [1]
     assert log.find("f").targets == {}
 
 
-def test_a_caller_s_other_queries_clear_its_path_but_not_the_query_that_ends_targets():
+def test_answers_to_other_queries_clear_the_origin_but_not_the_crashing_query():
     crash_guard, log, _ = guard("a", "b", "c")
     for target in "abc":
         tracked = TrackedRequest(Fingerprint("worst query", "path"))
@@ -105,30 +105,30 @@
 
 
 @pytest.mark.parametrize("boxes", [1, 3])
-def test_requests_at_the_same_targets_are_served_on(boxes):
-    """Targets that a request ends have others' requests, and those are not to blame."""
+def test_other_requests_at_the_crashed_targets_are_not_quarantined(boxes):
+    """A crash breaks off all requests at the target, not only the one that caused it."""
 
     async def test():
         async with stream_world(boxes=boxes, workers=0) as world:
-            await deadly_world(world)
+            await add_crashing_targets(world)
             for worker in world.workers:
                 worker.settings.work_s = 0.05
             calls = []
             for number in range(12):
                 box = world.boxes[number % boxes]
                 calls.append(asyncio.create_task(call(box, f"/read/{number}", f"r{number}")))
-            await ask_again(world, 3)
+            await send_worst(world, 3)
             await asyncio.gather(*calls)
-            assert lost(world) == 3
+            assert crash_count(world) == 3
             for number in range(12):
-                again = await call(world.boxes[0], f"/read/{number}", f"again{number}")
-                assert again.status == 200
+                retried = await call(world.boxes[0], f"/read/{number}", f"retried{number}")
+                assert retried.status == 200
             assert (await call(world.boxes[0], WORST, "worst")).status == 503
 
     asyncio.run(test())
 
 
-def test_a_request_that_is_answered_once_its_targets_were_mended_is_not_barred():
+def test_a_request_answered_after_the_targets_were_fixed_is_not_quarantined():
     async def test():
         async with stream_world(workers=0) as world:
             box = world.boxes[0]
@@ -136,17 +136,17 @@
             await until(lambda: box.instances.of("loans"))
             for _ in range(BAR_AT - 1):
                 assert (await call(box, WORST, "worst")).status == 502
-                before = worker.instance
+                old_instance = worker.instance
                 await worker.start_again()
-                world.store.remove("servers", before)
+                world.store.remove("servers", old_instance)
                 row = worker.row("loans", zone="hall-a")
                 world.store.put("servers", worker.instance, row)
                 name = worker.instance
                 await until(lambda name=name: box.instances.find(name))
             worker.settings.ends_under = None
             assert (await call(box, WORST, "mended")).status == 200
-            for evidence in box.crashes.settled:
-                assert (evidence.answers, evidence.targets) == (1, {})
+            for record in box.crashes.settled:
+                assert (record.answers, record.targets) == (1, {})
             assert len(box.crashes.settled) == 2
 
     asyncio.run(test())
--- a/tests/test_crashing.py
+++ b/tests/test_crashing.py
@@ -1,13 +1,7 @@
-"""A request that ends the targets that run it.
-
-One request ended each target that began to run it.  Its caller sent it again
-and again, to any box and each time under a new id, and each box took it for a
-new one: it went to as many targets as a request of its kind may, and all were
-lost, until a service of 28 targets had hardly any left.  The route lines of
-all boxes showed it ``Broken`` at every target ("the target closed its
-connection"), never with more than two tries; after three targets had ended
-under it, 19 and 26 more were sent it.  Requests that only were at the same
-targets ended ``Broken`` too, mostly once, and were answered elsewhere.
+"""Quarantine of a request that crashes each target serving it.
+
+The caller sends it again under new ids, to any box.  Without the quarantine it takes down
+one target after another.
 """
 
 from __future__ import annotations
@@ -17,8 +11,8 @@
 from dunlinnotch.standins.users.worker import WorkerSettings
 from tests.stream_world import call, document, stream_world, until
 
-#: Time in which all boxes are to know of the third target that ended, in seconds.
-KNOWN_S = 3.0
+#: Time allowed for all boxes to learn of the third crash.
+PROPAGATION_S = 3.0
 WORST = "/read/worst?of=all"
 TARGETS = 14
 
@@ -28,8 +22,8 @@
     asyncio.run(test())
 
 
-async def deadly_world(world, *, attempts=1):
-    """Fill a world with targets that end under one request."""
+async def add_crashing_targets(world, *, attempts=1):
+    """Add targets that crash when they serve one certain request."""
     world.store.put("op", "config", document(2, **{"max-attempts": attempts}))
     for _ in range(TARGETS):
         settings = WorkerSettings(ends_under=lambda path: path.startswith("/read/worst"))
@@ -38,66 +32,66 @@
     await until(lambda: all(b.routes.table.version == 2 for b in world.boxes))
 
 
-def lost(world):
-    """Return how many targets have ended."""
+def crash_count(world):
+    """Return the number of targets that have crashed."""
     return sum(worker.ended.is_set() for worker in world.workers)
 
 
-async def ask_again(world, times, *, path=lambda number: WORST):
-    """Have one caller send the worst request so often, to each box in turn."""
+async def send_worst(world, times, *, path=lambda number: WORST):
+    """Send the crashing request from one caller, to each box in turn."""
     answers = []
     for number in range(times):
         box = world.boxes[number % len(world.boxes)]
-        answers.append(await call(box, path(number), f"again-{lost(world)}-{number}"))
+        answers.append(await call(box, path(number), f"again-{crash_count(world)}-{number}"))
     return answers
 
 
-def test_no_more_targets_are_lost_once_three_have_ended_under_a_request():
+def test_a_request_that_crashed_three_targets_is_refused_by_all_boxes():
     async def test():
         async with stream_world(boxes=3, workers=0) as world:
-            await deadly_world(world)
-            await ask_again(world, 3)
-            assert lost(world) == 3
-            await asyncio.sleep(KNOWN_S)
-            answers = await ask_again(world, 9)
-            assert lost(world) <= 3 + 3
+            await add_crashing_targets(world)
+            await send_worst(world, 3)
+            assert crash_count(world) == 3
+            await asyncio.sleep(PROPAGATION_S)
+            answers = await send_worst(world, 9)
+            assert crash_count(world) <= 3 + 3
             assert {answer.status for answer in answers[-3:]} == {503}
             assert all(float(a.headers["retry-after"]) > 1 for a in answers[-3:])
-            # All others are served as before, the callers of the same path's neighbours too.
+            # Other requests are served as before.
             assert (await call(world.boxes[0], "/read/other", "other")).status == 200
 
     run(test)
 
 
-def test_a_query_that_changes_each_time_makes_no_other_request():
+def test_a_request_with_a_changing_query_is_quarantined_by_its_origin():
     async def test():
         async with stream_world(boxes=3, workers=0) as world:
-            await deadly_world(world)
-            await ask_again(world, 3, path=lambda number: f"/read/worst?page={number}")
-            await asyncio.sleep(KNOWN_S)
-            await ask_again(world, 9, path=lambda number: f"/read/worst?page={90 + number}")
-            assert lost(world) <= 3 + 3
+            await add_crashing_targets(world)
+            await send_worst(world, 3, path=lambda number: f"/read/worst?page={number}")
+            await asyncio.sleep(PROPAGATION_S)
+            await send_worst(world, 9, path=lambda number: f"/read/worst?page={90 + number}")
+            assert crash_count(world) <= 3 + 3
 
     run(test)
 
 
-def test_repeats_of_one_request_end_after_the_third_target():
+def test_retries_of_one_request_stop_after_the_third_crash():
     async def test():
         async with stream_world(boxes=1, workers=0) as world:
-            await deadly_world(world, attempts=9)
+            await add_crashing_targets(world, attempts=9)
             answer = await call(world.boxes[0], WORST, "worst")
             assert answer.status == 502
-            assert lost(world) == 3
+            assert crash_count(world) == 3
 
     run(test)
 
 
-def test_what_ended_three_targets_is_known_after_all_boxes_were_lost():
+def test_crash_records_survive_the_loss_of_all_boxes():
     async def test():
         async with stream_world(boxes=2, workers=0) as world:
-            await deadly_world(world)
-            await ask_again(world, 3)
-            await asyncio.sleep(KNOWN_S)
+            await add_crashing_targets(world)
+            await send_worst(world, 3)
+            await asyncio.sleep(PROPAGATION_S)
             for task in world.tasks:
                 task.cancel()
             await asyncio.gather(*world.tasks, return_exceptions=True)
@@ -106,7 +100,7 @@
             box = await world.add_box()
             await world.add_box(seeds=(box.mesh.peer,))
             await until(lambda: all(b.instances.of("loans") for b in world.boxes))
-            await ask_again(world, 8)
-            assert lost(world) <= 3 + 3
+            await send_worst(world, 8)
+            assert crash_count(world) <= 3 + 3
 
     run(test)
--- a/tests/test_fingerprint.py
+++ b/tests/test_fingerprint.py
@@ -1,4 +1,4 @@
-"""Which requests count as the same one, asked again."""
+"""Which requests have the same fingerprint."""
 
 import dataclasses
 
@@ -13,8 +13,8 @@
 REQUEST = CallerRequest("one", "GET", "/read/a?b=c", "books", (), 0.0, 1.0, 4, "10.0.0.1")
 
 
-def test_another_id_header_or_time_makes_no_other_request():
-    again = dataclasses.replace(
+def test_id_headers_and_times_do_not_change_the_fingerprint():
+    retry = dataclasses.replace(
         REQUEST,
         request_id="two",
         headers=(Header("a", "b"),),
@@ -22,37 +22,37 @@
         deadline=9.0,
         length=None,
     )
-    assert fingerprint(again, b"body") == fingerprint(REQUEST, b"body")
+    assert fingerprint(retry, b"body") == fingerprint(REQUEST, b"body")
 
 
-def same(change, body=b"body"):
-    """Return whether content and origin are the same after a change."""
+def matches(change, body=b"body"):
+    """Return whether content and origin stay equal after a change."""
     before = fingerprint(REQUEST, b"body")
     after = fingerprint(dataclasses.replace(REQUEST, **change), body)
     return before.content == after.content, before.origin == after.origin
 
 
 @pytest.mark.parametrize("change", [{"method": "POST"}, {"host": "loans"}, {"path": "/read/b?b=c"}])
-def test_another_content_makes_another_request(change):
-    assert same(change) == (False, False)
+def test_method_host_and_path_change_the_fingerprint(change):
+    assert matches(change) == (False, False)
 
 
-def test_another_body_makes_another_request():
-    assert same({}, b"soul") == (False, False)
+def test_the_body_changes_the_fingerprint():
+    assert matches({}, b"soul") == (False, False)
 
 
-def test_the_same_content_is_known_again_from_another_caller():
-    assert same({"caller": "10.0.0.2"}) == (True, False)
+def test_content_is_equal_for_other_callers():
+    assert matches({"caller": "10.0.0.2"}) == (True, False)
 
 
-def test_the_same_caller_s_request_is_known_again_with_another_query():
-    assert same({"path": "/read/a?b=d"}) == (False, True)
-    assert same({"path": "/read/a"}) == (False, True)
+def test_origin_is_equal_for_another_query_of_the_same_caller():
+    assert matches({"path": "/read/a?b=d"}) == (False, True)
+    assert matches({"path": "/read/a"}) == (False, True)
 
 
-def test_content_and_origin_are_never_mistaken_for_each_other():
-    known = fingerprint(dataclasses.replace(REQUEST, caller="", path="/read/a"), b"")
-    assert known.content != known.origin
+def test_content_and_origin_of_one_request_differ():
+    prints = fingerprint(dataclasses.replace(REQUEST, caller="", path="/read/a"), b"")
+    assert prints.content != prints.origin
 
 
 @given(st.text(max_size=20), st.binary(max_size=20))
