--- a/dunlinnotch/coordination/settings/following.py
+++ b/dunlinnotch/coordination/settings/following.py
@@ -1,4 +1,4 @@
-"""Follow one table of the store while this box is one of its readers."""
+"""Follow one table of the store while this box is a reader of its place."""
 
 from __future__ import annotations
 
@@ -20,24 +20,23 @@
     from dunlinnotch.state.followed import FollowedTable, TableDelta
     from dunlinnotch.types import Seconds
 
-#: How long a follow-up call waits for a change, by the lead reader and by others, in
-#: seconds: shorter than knowledge takes to be stale, so that a place needs no other.
+#: Long-poll timeouts of the primary reader and of the others.  They are shorter than the age
+#: at which a table counts as stale, so that one reader of a place suffices.
 PRIMARY_POLL_TIMEOUT_S = 1.0
 POLL_TIMEOUT_S = 1.5
-#: Time beyond the wait after which a follow-up call counts as hung, in seconds.
+#: Time beyond the long-poll timeout after which a call counts as hung.
 _HUNG_MARGIN_S = 0.6
-#: A follow-up call is made anew if a peer knows more for this long, in seconds.
+#: Time that a call may lag behind what a peer reported before it is restarted.
 _BEHIND_GRACE_S = 0.25
-#: Time between two looks whether this box is to read, in seconds.
 _ROLE_CHECK_INTERVAL_S = 0.2
-#: Pause of a reader that is not the lead after an answer that told something, in seconds.
+#: Delay of readers other than the primary one after an answer with a change.
 _AFTER_CHANGE_DELAY_S = 0.4
-#: Pause after a call that failed, in seconds: first and longest.
+#: First and maximum delay after failed calls.
 _RETRY_DELAYS_S = (0.1, 0.8)
-#: Time between two tries of the boxes of a place that all lack the store, in seconds: each
-#: of them waits so long for each of the others, so that calls do not grow with the boxes.
+#: Time between two attempts of all boxes of a place together while none reaches the store.
+#: Each box waits this time for each of them, so that calls do not grow with their number.
 _SHARED_RETRY_DELAY_S = 0.4
-#: An answer is taken to hold from so long before it came, in seconds.
+#: A table counts as confirmed from at most this time before an answer arrived.
 _MAX_ANSWER_AGE_S = 0.3
 
 _log = logging.getLogger(__name__)
@@ -54,6 +53,11 @@
     on_answer : callable
         Called after each answer, with whether it changed the table.
     rng : random.Random
+
+    Attributes
+    ----------
+    failing : bool
+        Whether the last call failed.
     """
 
     def __init__(
@@ -71,15 +75,15 @@
         self._on_answer = on_answer
         self._rng = rng
         self._requested_from = (0, 0)
-        self._detail = ""
-        self._call: asyncio.Task[bool] | None = None
+        self._failure_detail = ""
+        self._poll_task: asyncio.Task[bool] | None = None
         self._loop = asyncio.get_running_loop()
         self._failures = 0
         self._was_unavailable = False
         self.failing = False
 
     async def run(self) -> None:
-        """Follow the table whenever this box is to."""
+        """Follow the table while this box is a reader; runs until cancelled."""
         while True:
             if not self._mesh.is_reader():
                 await asyncio.sleep(_ROLE_CHECK_INTERVAL_S)
@@ -88,77 +92,80 @@
             if await self._poll_once():
                 self._record_success()
                 if self._table.changed > before and not self._mesh.is_lead():
-                    # The lead tells the next change; a call for each would cost the store.
+                    # The primary reader reports the next change, which spares the store calls.
                     await asyncio.sleep(_AFTER_CHANGE_DELAY_S)
             else:
                 self._record_failure()
                 await asyncio.sleep(self._retry_delay() * (0.7 + 0.6 * self._rng.random()))
 
     def _retry_delay(self) -> Seconds:
-        """Return the time to wait after a failed call."""
-        first, longest = _RETRY_DELAYS_S
+        """Return the seconds to wait after a failed call, before jitter."""
+        first_delay, max_delay = _RETRY_DELAYS_S
         if not self._mesh.is_first():
-            longest = max(longest, _SHARED_RETRY_DELAY_S * self._mesh.live_here())
-        return min(longest, float(first * 2 ** min(8, self._failures)))
+            max_delay = max(max_delay, _SHARED_RETRY_DELAY_S * self._mesh.live_here())
+        return min(max_delay, float(first_delay * 2 ** min(8, self._failures)))
 
     def restart_if_behind(self) -> None:
-        """Make the follow-up call anew if it does not tell soon what a peer has told."""
-        if self._call is not None and not self._call.done():
-            self._loop.call_later(_BEHIND_GRACE_S, self._cancel_if_behind, self._call)
+        """Restart the call in progress unless it soon returns what a peer has reported."""
+        if self._poll_task is not None and not self._poll_task.done():
+            self._loop.call_later(_BEHIND_GRACE_S, self._cancel_if_behind, self._poll_task)
 
     def _cancel_if_behind(self, call: asyncio.Task[bool]) -> None:
-        known = (self._table.era, self._table.changed)
-        if self._call is call and not call.done() and self._requested_from < known:
+        local_position = (self._table.era, self._table.changed)
+        if self._poll_task is call and not call.done() and self._requested_from < local_position:
             call.cancel()
 
     async def _poll_once(self) -> bool:
         self._requested_from = (self._table.era, self._table.version)
-        self._call = self._loop.create_task(self._read())
+        self._poll_task = self._loop.create_task(self._fetch())
         try:
-            return await self._call
+            return await self._poll_task
         except asyncio.CancelledError:
             task = asyncio.current_task()
             if task is not None and task.cancelling():
                 raise
-            self._detail = "a peer knew more than a follow-up call told"
+            self._failure_detail = "a peer has a newer version than the call in progress returned"
             event(
                 _log, "follow-up-call-hung", table=self._table.name, after=self._requested_from[1]
             )
             return False
         finally:
-            self._call.cancel()
+            self._poll_task.cancel()
 
-    async def _read(self) -> bool:
-        """Make one call; return whether a usable answer came."""
+    async def _fetch(self) -> bool:
+        """Make one call; return whether it gave a usable answer."""
         table = self._table
-        known = (table.era, table.version)
+        local_position = (table.era, table.version)
         sent = self._loop.time()
         try:
-            # A store that was away may have come back from a copy, which only a whole
-            # reading shows once its versions have grown past the one known here.
-            delta = await self._changes() if table.known and not self._was_unavailable else None
+            # The store may have been restored from a backup during an outage.  Once its
+            # versions exceed the one held here, only a full snapshot shows that.
+            delta = (
+                await self._fetch_changes() if table.known and not self._was_unavailable else None
+            )
             if delta is None:
                 sent = self._loop.time()
                 delta = await self._source.read_table(table.name)
         except (PlatformUnavailableError, TimeoutError) as error:
-            self._detail = str(error) or type(error).__name__
+            self._failure_detail = str(error) or type(error).__name__
             self._was_unavailable = True
             return False
         self._was_unavailable = False
-        if delta.era is None and delta.version < known[1]:
-            self._note_older(delta)
-            # Versions rise within an era, so this is a new one, told or not.
-            delta = replace(delta, era=known[0] + 1)
-        elif delta.era is not None and (delta.era, delta.version) < known:
-            # Asked again at once, it would tell the same: a storm of readings.
-            self._note_older(delta)
+        if delta.era is None and delta.version < local_position[1]:
+            self._log_older_answer(delta)
+            # Versions only rise within an epoch, so a lower one means a new epoch, also if
+            # the store states none.
+            delta = replace(delta, era=local_position[0] + 1)
+        elif delta.era is not None and (delta.era, delta.version) < local_position:
+            # An immediate retry would get the same answer and flood the store with reads.
+            self._log_older_answer(delta)
             return False
         at = max(sent, self._loop.time() - _MAX_ANSWER_AGE_S)
         self._on_answer(table.take(delta, at=at))
         return True
 
-    async def _changes(self) -> TableDelta | None:
-        """Return what changed since the last answer; None if the table must be read whole."""
+    async def _fetch_changes(self) -> TableDelta | None:
+        """Return the changes since the last answer; None if a full snapshot is needed."""
         table = self._table
         era, after = table.era, table.version
         wait = PRIMARY_POLL_TIMEOUT_S if self._mesh.is_lead() else POLL_TIMEOUT_S
@@ -168,15 +175,18 @@
             event(_log, "history-gone", table=table.name, era=era, after=after)
             return None
         if changes.era not in (None, era):
-            # Versions up to ``after`` have been given out again, and were not told.
+            # The new epoch reuses versions up to ``after``, and their rows were not returned.
             event(_log, "store-back", table=table.name, era=changes.era, before=era, after=after)
             return None
         return changes
 
-    def _note_older(self, delta: TableDelta) -> None:
-        """Log that the store holds less than this box knew when it asked."""
+    def _log_older_answer(self, delta: TableDelta) -> None:
+        """Log that the store returned an older version than this box holds."""
         table = self._table
-        self._detail = f"the store tells version {delta.version} of era {delta.era}"
+        self._failure_detail = (
+            f"the store returned version {delta.version} of epoch {delta.era}, "
+            "older than the local copy"
+        )
         event(
             _log,
             "store-behind",
@@ -201,6 +211,6 @@
                 "store-lost",
                 level=logging.WARNING,
                 table=self._table.name,
-                detail=self._detail,
+                detail=self._failure_detail,
                 version=self._table.version,
             )
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -1,4 +1,4 @@
-"""Readers of the store: hung calls, lost answers, forgotten history, taking over."""
+"""Following a table: hung calls, failures, dropped history, earlier epochs."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 
 class Source:
-    """A store whose next answers the test sets."""
+    """A store that returns the answers set by the test."""
 
     def __init__(self):
         self.version = 1
         self.answers = []
         self.reads = 0
-        self.asked = []
+        self.requested_from = []
 
     def whole(self):
         return TableDelta("t", self.version, True, (TableRow("k", self.version, b"v"),))
@@ -34,7 +34,7 @@
         return self.whole()
 
     async def changes(self, table, after, wait):
-        self.asked.append(after)
+        self.requested_from.append(after)
         answer = self.answers.pop(0) if self.answers else "hang"
         if answer == "hang":
             await asyncio.sleep(3600)
@@ -44,7 +44,7 @@
 
 
 def follow(test):
-    """Run a test with a follower whose box is alone, so that it reads."""
+    """Run a test with the follower of a single box, which is therefore the reader."""
 
     async def bounded():
         source = Source()
@@ -60,37 +60,37 @@
             rng=random.Random(1),
         )
         mesh.state = RUNNING
-        news = []
+        versions = []
         follower = TableFollower(
             table,
             source,
             mesh,
-            on_answer=lambda changed: changed and news.append(table.version),
+            on_answer=lambda changed: changed and versions.append(table.version),
             rng=random.Random(1),
         )
         task = asyncio.create_task(follower.run())
         try:
             async with asyncio.timeout(20):
-                await test(source, table, follower, news)
+                await test(source, table, follower, versions)
         finally:
             task.cancel()
 
     asyncio.run(bounded())
 
 
-def test_a_table_is_read_whole_first_and_then_followed():
-    async def test(source, table, follower, news):
+def test_a_snapshot_is_read_first_and_then_changes():
+    async def test(source, table, follower, versions):
         source.answers = [TableDelta("t", 3, False, (TableRow("k", 3, b"w"),))]
         await until(lambda: table.version == 3)
         assert source.reads == 1
-        assert news == [1, 3]
-        await until(lambda: source.asked == [1, 3])
+        assert versions == [1, 3]
+        await until(lambda: source.requested_from == [1, 3])
 
     follow(test)
 
 
-def test_a_lost_answer_is_a_failure_until_the_next_call_succeeds():
-    async def test(source, table, follower, news):
+def test_a_failed_call_counts_as_failing_until_the_next_succeeds():
+    async def test(source, table, follower, versions):
         source.answers = [
             PlatformUnavailableError("lost"),
             TableDelta("t", 2, False, (TableRow("k", 2, b"w"),)),
@@ -103,46 +103,46 @@
     follow(test)
 
 
-def test_forgotten_history_is_read_whole():
-    async def test(source, table, follower, news):
-        await until(lambda: source.asked == [1])
+def test_a_snapshot_is_read_if_the_store_dropped_the_history():
+    async def test(source, table, follower, versions):
+        await until(lambda: source.requested_from == [1])
         source.version = 9
 
-    async def gone(source, table, follower, news):
+    async def history_gone(source, table, follower, versions):
         source.answers = [HistoryGone()]
         source.version = 9
         await until(lambda: table.version == 9)
 
     follow(test)
-    follow(gone)
+    follow(history_gone)
 
 
-def test_a_call_that_does_not_tell_what_a_peer_told_is_made_anew(monkeypatch):
+def test_a_call_that_lags_behind_a_peer_is_restarted(monkeypatch):
     monkeypatch.setattr(following, "_BEHIND_GRACE_S", 0.02)
-    # Nothing but what the peer told ends the call.
+    # Only the peer's report may end the call.
     monkeypatch.setattr(following, "PRIMARY_POLL_TIMEOUT_S", 3600.0)
 
-    async def test(source, table, follower, news):
-        await until(lambda: source.asked == [1])
-        # A peer tells version 4; the call that hangs should have told it as well.
+    async def test(source, table, follower, versions):
+        await until(lambda: source.requested_from == [1])
+        # A peer reports version 4, which the call in progress should have returned.
         table.take(TableDelta("t", 4, False, (TableRow("k", 4, b"x"),)), at=0.0)
         follower.restart_if_behind()
-        await until(lambda: source.asked == [1, 4])
+        await until(lambda: source.requested_from == [1, 4])
 
     follow(test)
 
 
-def test_a_store_that_tells_an_earlier_era_is_asked_again_after_a_pause_only():
-    """It can't be followed, but it must not be read without end either."""
+def test_reads_of_a_store_in_an_earlier_epoch_are_delayed():
+    """Its answers are rejected, and it must not be flooded with reads."""
 
-    async def test(source, table, follower, news):
+    async def test(source, table, follower, versions):
         table.take(replace(source.whole(), version=9, era=3), at=0.0)
         source.whole = lambda: TableDelta("t", 20, True, (TableRow("k", 20, b"w"),), era=1)
 
-        async def gone(table, after, wait):
+        async def history_gone(table, after, wait):
             return HistoryGone()
 
-        source.changes = gone
+        source.changes = history_gone
         await until(lambda: source.reads >= 5)
         assert follower.failing
         assert follower._failures >= 3
@@ -151,13 +151,13 @@
     follow(test)
 
 
-def test_a_call_that_hangs_longer_than_it_may_is_given_up(monkeypatch, caplog):
+def test_a_hung_call_times_out(monkeypatch, caplog):
     monkeypatch.setattr(following, "PRIMARY_POLL_TIMEOUT_S", 0.02)
     monkeypatch.setattr(following, "_HUNG_MARGIN_S", 0.02)
 
-    async def test(source, table, follower, news):
-        await until(lambda: len(source.asked) >= 2)
-        # The store may have come back from a copy meanwhile, so all is read first.
+    async def test(source, table, follower, versions):
+        await until(lambda: len(source.requested_from) >= 2)
+        # The store may have been restored from a backup, so a snapshot is read first.
         assert source.reads == 2
         assert "store-lost" in caplog.messages
 
@@ -165,25 +165,25 @@
     follow(test)
 
 
-def test_a_call_that_rightly_waits_is_not_taken_for_hung():
-    """The peer has heard that nothing changed up to a higher version."""
+def test_a_call_that_waits_for_a_change_is_not_restarted():
+    """A peer confirmed that nothing changed up to a higher version."""
 
-    async def test(source, table, follower, news):
+    async def test(source, table, follower, versions):
         source.answers = ["hang"]
-        await until(lambda: source.asked == [1])
+        await until(lambda: source.requested_from == [1])
         table.take(TableDelta("t", 7, False, ()), at=1.0)
         follower.restart_if_behind()
         await asyncio.sleep(following._BEHIND_GRACE_S * 2)
-        assert source.asked == [1]
+        assert source.requested_from == [1]
         assert not follower.failing
 
     follow(test)
 
 
-def test_boxes_that_all_lack_the_store_try_in_turn_not_each_as_often():
-    """wusta-listings-grown trouble-3: calls to a store that is down grew with the boxes."""
+def test_retry_delay_of_boxes_grows_with_their_number_while_none_reaches_the_store():
+    """Calls to a store that is down must not grow with the number of boxes."""
 
-    async def test(source, table, follower, news):
+    async def test(source, table, follower, versions):
         mesh = follower._mesh
         for number in range(19):
             mesh.take(replace(mesh.own_word(), name=f"b-{number}", reading=False))
