--- a/dunlinnotch/coordination/core.py
+++ b/dunlinnotch/coordination/core.py
@@ -153,7 +153,7 @@
             holder=self.holder,
             pools=self.directory,
             gate=self.gate,
-            once=IdempotencyGuard(
+            idempotency=IdempotencyGuard(
                 self.ledger, box=self.name, incarnation=row.incarnation, clock=clock
             ),
             transport=transport,
--- a/dunlinnotch/coordination/requests/router.py
+++ b/dunlinnotch/coordination/requests/router.py
@@ -1,7 +1,7 @@
-"""Take one call from its acceptance to its end.
+"""Route one call to a target, on the thread of the call.
 
-The path is written straight down, once for each call's own thread: check,
-wait for a target, send, retry where that is safe, relay the answer.
+The steps are: validate, wait for a target, send, retry where that is safe, and relay the
+answer.
 """
 
 from __future__ import annotations
@@ -42,16 +42,15 @@
     from dunlinnotch.state.schema import Settings
     from dunlinnotch.types import Address, Clock, Seconds
 
-#: Answers up to this size are read whole before their head goes out, in bytes.
-_READ_FIRST = 64 * 1024
+#: Answers up to this size are read completely before their head is relayed.
+_MAX_BUFFERED_ANSWER_BYTES = 64 * 1024
 _NOT_FOUND = 404
 _SERVER_ERROR = 500
 _BAD_GATEWAY = 502
 _UNAVAILABLE = 503
 _GATEWAY_TIMEOUT = 504
 _BAD_REQUEST = 400
-#: When to come back if nothing better is known, in seconds.
-_RETRY_AFTER_S = 1.0
+_DEFAULT_RETRY_AFTER_S = 1.0
 
 _log = logging.getLogger(__name__)
 
@@ -64,28 +63,48 @@
 
 
 class CallObserver(Protocol):
-    """Is told of the end of each attempt and call, for metrics."""
+    """Observes the end of each attempt and call, for metrics."""
 
     def attempt_ended(self, result: AttemptResult, *, why: str, retry: bool) -> None:
-        """Note the end of an attempt, and why its target was chosen."""
+        """Record the end of an attempt and why its target was chosen."""
 
     def call_ended(
         self, call: Call, result: CallResult, *, waited: Seconds, at_targets: Seconds
     ) -> None:
-        """Note the end of a call, its wait and its time with targets, in seconds."""
+        """Record the end of a call.
 
+        Parameters
+        ----------
+        call : Call
+        result : CallResult
+        waited, at_targets : float
+            Seconds spent in the queue and at targets.
+        """
 
-class _Ending(Enum):
+
+class _AttemptVerdict(Enum):
     """How an attempt counts for its target."""
 
-    WELL = auto()
+    SUCCEEDED = auto()
     FAILED = auto()
     DECLINED = auto()
 
 
 @dataclass(slots=True)
 class _Run:
-    """One call under way: what it is, who waits for it, and what has happened so far."""
+    """State of one call in progress.
+
+    Parameters
+    ----------
+    call : Call
+    body : RequestBody
+    reply : ReplySink
+    watch : CallerWatch
+    tried : list of str
+        Addresses of the targets that the call has been sent to.
+    waited, at_targets : float
+        Seconds spent in the queue and at targets so far.
+    """
 
     call: Call
     body: RequestBody
@@ -106,7 +125,7 @@
     holder : SettingsHolder
     pools : PoolDirectory
     gate : WorkGate
-    once : IdempotencyGuard
+    idempotency : IdempotencyGuard
     transport : TargetTransport
     observer : CallObserver
     clock : callable
@@ -119,7 +138,7 @@
         holder: SettingsHolder,
         pools: PoolDirectory,
         gate: WorkGate,
-        once: IdempotencyGuard,
+        idempotency: IdempotencyGuard,
         transport: TargetTransport,
         observer: CallObserver,
         clock: Clock,
@@ -128,7 +147,7 @@
         self._holder = holder
         self._pools = pools
         self._gate = gate
-        self._once = once
+        self._idempotency = idempotency
         self._transport = transport
         self._observer = observer
         self._clock = clock
@@ -143,9 +162,9 @@
         call : Call
         body : RequestBody
         reply : ReplySink
-            Gets the target's answer, if one comes; refusals are returned.
+            Receives the target's answer, if there is one; refusals are returned.
         watch : CallerWatch
-            Tells whether the caller has gone.
+            Reports whether the caller has disconnected.
 
         Returns
         -------
@@ -154,15 +173,15 @@
         run = _Run(call, body, reply, watch)
         refusal = self._gate.enter()
         if refusal is not None:
-            return self._ended(run, refusal)
+            return self._complete(run, refusal)
         try:
-            result = self._checked(run)
+            result = self._validate_and_route(run)
         finally:
             self._gate.leave()
-        return self._ended(run, result)
+        return self._complete(run, result)
 
-    def _checked(self, run: _Run) -> CallResult:
-        """Find service and kind; see to once-keys of kinds that may not be repeated."""
+    def _validate_and_route(self, run: _Run) -> CallResult:
+        """Find service and kind; check the idempotency key if the kind is not idempotent."""
         call = run.call
         pool = self._pools.pool(call.service)
         if pool is None:
@@ -174,16 +193,20 @@
             return _refused(Reason.KIND_UNKNOWN, detail, _NOT_FOUND)
         settings = tree.effective(f"{self._place}/{call.service}/{call.kind}")
         if settings.repeatable:
-            return self._admitted(run, pool, settings)
+            return self._attempt_until_settled(run, pool, settings)
 
-        def once(kept: ReplySink) -> CallResult:
-            run.reply = kept
-            return self._admitted(run, pool, settings)
+        def route_once(recording_reply: ReplySink) -> CallResult:
+            run.reply = recording_reply
+            return self._attempt_until_settled(run, pool, settings)
 
-        return self._once.run(call, run.reply, window=settings.once_window_s, route=once)
+        return self._idempotency.run(
+            call, run.reply, window=settings.once_window_s, route=route_once
+        )
 
-    def _admitted(self, run: _Run, pool: ServicePool, settings: Settings) -> CallResult:
-        """Send the call to a target, and to others while that is safe."""
+    def _attempt_until_settled(
+        self, run: _Run, pool: ServicePool, settings: Settings
+    ) -> CallResult:
+        """Send the call to a target, and retry at others while that is safe."""
         grant = self._wait_for_target(run, pool, settings)
         if isinstance(grant, CallResult):
             return grant
@@ -192,27 +215,27 @@
             began = self._clock()
             result = self._attempt(run, grant, settings)
             if isinstance(result, Answered):
-                ended = self._relay(run.reply, grant, result, pool)
+                call_result = self._relay(run.reply, grant, result, pool)
             else:
-                ended = self._not_answered(result, grant, pool)
+                call_result = self._failure_result(result, grant, pool)
             run.at_targets += self._clock() - began
             why = grant.choice.reason
             self._observer.attempt_ended(result, why=why, retry=len(run.tried) > 1)
-            self._log_choice(run, grant.choice, ended)
-            if not self._may_retry(run, ended, settings):
-                return ended
-            again = pool.again(
+            self._log_choice(run, grant.choice, call_result)
+            if not self._may_retry(run, call_result, settings):
+                return call_result
+            next_grant = pool.again(
                 exclude=run.tried, kind=run.call.kind, repeatable=settings.repeatable
             )
-            if again is None:
-                return ended
-            grant = again
+            if next_grant is None:
+                return call_result
+            grant = next_grant
 
     def _wait_for_target(
         self, run: _Run, pool: ServicePool, settings: Settings
     ) -> Grant | CallResult:
         if not pool.usable():
-            detail = "no target of the service takes new work"
+            detail = "no target of the service accepts new calls"
             return _refused(Reason.NO_TARGET, detail, _UNAVAILABLE)
         now = self._clock()
         if now >= run.call.deadline:
@@ -226,14 +249,14 @@
             repeatable=settings.repeatable,
             wake=granted.set,
         )
-        come_back = pool.enter(ticket)
-        if come_back is None and ticket.state is TicketState.WAITING:
+        retry_delay = pool.enter(ticket)
+        if retry_delay is None and ticket.state is TicketState.WAITING:
             granted.wait(max(0.0, ticket.give_up - self._clock()))
-            come_back = pool.give_up(ticket)
+            retry_delay = pool.give_up(ticket)
         run.waited = self._clock() - now
         if ticket.grant is None:
-            wait = max(come_back or 0.0, _RETRY_AFTER_S)
-            return _refused(Reason.QUEUE_FULL, "all targets are full", _UNAVAILABLE, wait)
+            wait = max(retry_delay or 0.0, _DEFAULT_RETRY_AFTER_S)
+            return _refused(Reason.QUEUE_FULL, "all targets are saturated", _UNAVAILABLE, wait)
         return ticket.grant
 
     def _attempt(self, run: _Run, grant: Grant, settings: Settings) -> AttemptResult:
@@ -248,74 +271,86 @@
     def _relay(
         self, reply: ReplySink, grant: Grant, answered: Answered, pool: ServicePool
     ) -> CallResult:
-        """Pass an answer to the caller, to its last byte or not cleanly at all."""
+        """Relay an answer; one that breaks off never ends cleanly for the caller."""
         target = grant.choice.target
         pool.heard(target, answered.report)
-        ending = _Ending.FAILED if answered.head.status >= _SERVER_ERROR else _Ending.WELL
-        whole = False
+        verdict = (
+            _AttemptVerdict.FAILED
+            if answered.head.status >= _SERVER_ERROR
+            else _AttemptVerdict.SUCCEEDED
+        )
+        complete = False
         begun = False
         try:
             chunks = answered.body.chunks()
             length = answered.head.length
-            if length is not None and length <= _READ_FIRST:
+            if length is not None and length <= _MAX_BUFFERED_ANSWER_BYTES:
                 chunks = iter([b"".join(chunks)])
             begun = True
             reply.begin(answered.head, target=target.address)
             for chunk in chunks:
                 reply.send(chunk)
-            whole = True
+            complete = True
             reply.finish()
             return CallResult(Outcome.ANSWERED, answered.head.status, begun=True)
         except BodyCutError as error:
-            ending = _Ending.FAILED
+            verdict = _AttemptVerdict.FAILED
             return CallResult(
                 Outcome.UNKNOWN, _BAD_GATEWAY, Reason.TARGET_BROKEN, str(error), begun=begun
             )
         except CallerGoneError:
-            outcome = Outcome.ANSWERED if whole else Outcome.UNKNOWN
+            outcome = Outcome.ANSWERED if complete else Outcome.UNKNOWN
             return CallResult(outcome, 0, Reason.CALLER_GONE, "the caller left", begun=True)
         finally:
-            answered.body.close(whole=whole)
-            self._finish(pool, grant, ending)
+            answered.body.close(whole=complete)
+            self._finish(pool, grant, verdict)
 
-    def _not_answered(
+    def _failure_result(
         self, result: NotSent | Refused | Broken, grant: Grant, pool: ServicePool
     ) -> CallResult:
         if isinstance(result, Refused):
             pool.heard(grant.choice.target, result.report)
-            self._finish(pool, grant, _Ending.DECLINED)
+            self._finish(pool, grant, _AttemptVerdict.DECLINED)
             detail = f"the target refused: {result.mark}"
             return _refused(Reason.TARGET_REFUSED, detail, _UNAVAILABLE)
-        blameless = result.reason in (Reason.CALLER_GONE, Reason.BODY_BROKEN) or (
+        target_not_at_fault = result.reason in (Reason.CALLER_GONE, Reason.BODY_BROKEN) or (
             isinstance(result, NotSent) and result.reason is Reason.DEADLINE_EXPIRED
         )
-        self._finish(pool, grant, _Ending.DECLINED if blameless else _Ending.FAILED)
-        late = result.reason is Reason.DEADLINE_EXPIRED
+        self._finish(
+            pool, grant, _AttemptVerdict.DECLINED if target_not_at_fault else _AttemptVerdict.FAILED
+        )
+        timed_out = result.reason is Reason.DEADLINE_EXPIRED
         if isinstance(result, Broken):
-            status = _GATEWAY_TIMEOUT if late else _BAD_GATEWAY
+            status = _GATEWAY_TIMEOUT if timed_out else _BAD_GATEWAY
             return CallResult(Outcome.UNKNOWN, status, result.reason, result.detail)
         if result.reason is Reason.BODY_BROKEN:
             return _refused(result.reason, result.detail, _BAD_REQUEST)
-        return _refused(result.reason, result.detail, _GATEWAY_TIMEOUT if late else _UNAVAILABLE)
+        return _refused(
+            result.reason, result.detail, _GATEWAY_TIMEOUT if timed_out else _UNAVAILABLE
+        )
 
     @staticmethod
-    def _finish(pool: ServicePool, grant: Grant, ending: _Ending) -> None:
-        pool.finish(grant, failed=ending is _Ending.FAILED, counted=ending is not _Ending.DECLINED)
+    def _finish(pool: ServicePool, grant: Grant, verdict: _AttemptVerdict) -> None:
+        pool.finish(
+            grant,
+            failed=verdict is _AttemptVerdict.FAILED,
+            counted=verdict is not _AttemptVerdict.DECLINED,
+        )
 
-    def _may_retry(self, run: _Run, ended: CallResult, settings: Settings) -> bool:
-        """Return whether another target may be tried without harm."""
-        if ended.begun or ended.outcome is Outcome.ANSWERED:
+    def _may_retry(self, run: _Run, call_result: CallResult, settings: Settings) -> bool:
+        """Return whether the call may be retried at another target."""
+        if call_result.begun or call_result.outcome is Outcome.ANSWERED:
             return False
-        if ended.outcome is Outcome.UNKNOWN and not settings.repeatable:
+        if call_result.outcome is Outcome.UNKNOWN and not settings.repeatable:
             return False
-        if ended.reason in (Reason.CALLER_GONE, Reason.DEADLINE_EXPIRED, Reason.BODY_BROKEN):
+        if call_result.reason in (Reason.CALLER_GONE, Reason.DEADLINE_EXPIRED, Reason.BODY_BROKEN):
             return False
         if len(run.tried) >= settings.attempts or not run.body.replayable:
             return False
         return self._clock() < run.call.deadline
 
-    def _log_choice(self, run: _Run, choice: Choice, ended: CallResult) -> None:
-        """Log one decision and what came of it, once the answer is out."""
+    def _log_choice(self, run: _Run, choice: Choice, call_result: CallResult) -> None:
+        """Log the choice of a target and the result of the attempt."""
         event(
             _log,
             "route",
@@ -328,19 +363,19 @@
             attempt=len(run.tried),
             waited_ms=round(run.waited * 1000, 2),
             took_ms=round((self._clock() - run.call.arrived) * 1000, 2),
-            outcome=ended.outcome,
-            status=ended.status,
-            reason=ended.reason,
-            detail=ended.detail,
+            outcome=call_result.outcome,
+            status=call_result.status,
+            reason=call_result.reason,
+            detail=call_result.detail,
             version=self._holder.version,
             candidates={c.target.address: round(c.score, 3) for c in choice.candidates},
         )
 
-    def _ended(self, run: _Run, result: CallResult) -> CallResult:
+    def _complete(self, run: _Run, result: CallResult) -> CallResult:
         call = run.call
-        if result.outcome is Outcome.NOT_RUN and self._once.may_have_run(call):
-            # This copy did not run, but an earlier one may have: its caller must not
-            # conclude that the request can be sent anew.
+        if result.outcome is Outcome.NOT_RUN and self._idempotency.may_have_run(call):
+            # This copy did not run, but an earlier one may have, so the caller must not
+            # conclude that it is safe to send the request again.
             result = replace(result, outcome=Outcome.UNKNOWN)
         self._observer.call_ended(call, result, waited=run.waited, at_targets=run.at_targets)
         if not run.tried:
@@ -363,5 +398,5 @@
     reason: Reason, detail: str, status: int, retry_after: Seconds | None = None
 ) -> CallResult:
     if retry_after is None and status == _UNAVAILABLE:
-        retry_after = _RETRY_AFTER_S
+        retry_after = _DEFAULT_RETRY_AFTER_S
     return CallResult(Outcome.NOT_RUN, status, reason, detail, retry_after)
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -77,11 +77,11 @@
     return not ended.begun and ended.outcome is not Outcome.ANSWERED and len(run.tried) < 3
 
 
-_not_answered = Router._not_answered
+_failure_result = Router._failure_result
 
 
 def _say_not_run(self, result, grant, pool):
-    ended = _not_answered(self, result, grant, pool)
+    ended = _failure_result(self, result, grant, pool)
     return replace(ended, outcome=Outcome.NOT_RUN) if isinstance(result, Broken) else ended
 
 
@@ -428,7 +428,7 @@
     ),
     Mutant("all follow what nobody can read", Mesh, "is_first", _all_are_first, LINKS),
     Mutant("retry a loan after it was sent", Router, "_may_retry", _retry_anything),
-    Mutant("say not run of a broken attempt", Router, "_not_answered", _say_not_run),
+    Mutant("say not run of a broken attempt", Router, "_failure_result", _say_not_run),
     Mutant(
         "reuse a connection that timed out",
         ConnectionPools,
