--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -1,4 +1,4 @@
-"""An entry box on one event loop: what a platform's adapter gives, joined and run."""
+"""Run an entry box: build its parts around a platform adapter and run them on one event loop."""
 
 from __future__ import annotations
 
@@ -45,31 +45,37 @@
     from dunlinnotch.transport.stream.server import Exchange
     from dunlinnotch.types import Address, Seconds
 
-#: Time between two looks after what depends on time, in seconds.
-_LOOK_S = 0.05
-#: Connections that a target accepts are shared by at least so many boxes.
-_BOXES_LEAST = 6
+#: Interval between two runs of the periodic maintenance, in seconds.
+_MAINTENANCE_INTERVAL_S = 0.05
+#: Lowest number of boxes assumed when limits per target are divided among the boxes: a box
+#: that has just started does not know the others yet and must not use their shares.
+_MIN_BOXES = 6
 
 _log = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True, slots=True)
 class EntrySettings:
-    """What one entry box is told at its start.
+    """Settings of one entry box.
 
     Parameters
     ----------
     name, place : str
+        Name of the box, and the data hall in which it runs.
     caller, peer : str
-        Addresses for callers and for peers.
+        Addresses on which the box listens for callers and for peers.
     seeds : tuple of str
-        Peers to ask while none is known.
+        Peers to contact while no other peer is known.
     grace : float
-        Seconds from the stop signal until the platform kills.
+        Seconds between the stop signal and the kill by the platform.
     probes_per_s : float
-        Most probes a target may get from all boxes together.
-    retry_ratio, retry_slack, retry_window : float
-        The budget of repeats for a service.
+        Maximum rate of probes per target, in probes per second over all boxes.
+    retry_ratio : float
+        Retries allowed per request of a service.
+    retry_slack : float
+        Retries allowed beyond that ratio.
+    retry_window : float
+        Seconds over which requests and retries are counted.
     """
 
     name: str
@@ -86,23 +92,27 @@
 
 @dataclass(frozen=True, slots=True)
 class Adapter:
-    """How a platform is spoken to; an adapter only translates.
+    """Interface to a platform: translates its formats and makes no decisions.
 
     Parameters
     ----------
     source : TableSource
+        Store from which tables are read and followed.
     settings_table, settings_key : str
-        The row that holds the settings in force.
+        Table and key of the row that holds the settings.
     targets_table : str
+        Table that lists the targets.
     read_settings, read_target : callable
-        Read a document and a row of the list of targets.
+        Parse the settings document and one row of the targets table.
     targets : TargetDialect
+        Headers and paths of requests to targets.
     read_request : callable
-        Makes a caller's request of an exchange; ``None`` if it is none.
+        Converts an exchange to a caller's request; returns ``None`` if required headers are
+        missing or invalid.
     rows : RowStore
-        Keeps the box's own rows.
+        Store of the rows that boxes write themselves.
     store_calls, store_failures : callable
-        Counts, for the metrics.
+        Return the number of calls made to the store and of those that failed, for the metrics.
     """
 
     source: TableSource
@@ -119,7 +129,7 @@
 
 
 class EntryBox:
-    """One entry box.
+    """One entry box: accepts callers' requests and forwards them to targets.
 
     Parameters
     ----------
@@ -127,7 +137,7 @@
     adapter : Adapter
     rng : random.Random
     dropped_lines : callable
-        Returns how many log lines were left out.
+        Returns the number of log lines dropped so far.
     """
 
     def __init__(
@@ -146,12 +156,12 @@
         self._dropped_lines = dropped_lines
         self.instances = InstanceList()
         self.routes = RoutesInForce(
-            adapter.read_settings, key=adapter.settings_key, on_change=self._on_routes
+            adapter.read_settings, key=adapter.settings_key, on_change=self._apply_routes
         )
-        self._listed = TargetsListed(adapter.read_target, self.instances, clock=clock)
-        self._settings_rows = FollowedTable(adapter.settings_table, self.routes.take)
-        self._target_rows = FollowedTable(adapter.targets_table, self._take_targets)
-        self.tables = {t.name: t for t in (self._settings_rows, self._target_rows)}
+        self._target_listing = TargetsListed(adapter.read_target, self.instances, clock=clock)
+        self._settings_replica = FollowedTable(adapter.settings_table, self.routes.take)
+        self._targets_replica = FollowedTable(adapter.targets_table, self._apply_target_rows)
+        self.tables = {t.name: t for t in (self._settings_replica, self._targets_replica)}
         self.mesh = Mesh(
             name=settings.name,
             place=settings.place,
@@ -177,9 +187,9 @@
             )
             for table in self.tables.values()
         ]
-        self.pause_detector = WakeWatch(clock=clock, outdated=self._outdated)
+        self.pause_detector = WakeWatch(clock=clock, outdated=self._is_outdated)
         self.text_metrics = TextMetrics(self._gauges)
-        self._targets = TargetClient(adapter.targets)
+        self._target_client = TargetClient(adapter.targets)
         self.crashes = CrashLog(clock=elapsed)
         self.crash_gossip = CrashNews(
             self.crashes,
@@ -191,7 +201,9 @@
             rng=rng,
         )
         self.gossip.join(self.crash_gossip, self.followers)
-        self._crash_guard = CrashGuard(self.crashes, self._targets, tell=self.crash_gossip.tell)
+        self._crash_guard = CrashGuard(
+            self.crashes, self._target_client, tell=self.crash_gossip.tell
+        )
         self.probes = ProbeShare(settings.probes_per_s, clock=clock)
         self.work_times = WorkTimes()
         chooser = FreshChooser(place=settings.place, times=self.work_times, rng=rng)
@@ -200,21 +212,21 @@
             chooser=chooser,
             probes=self.probes,
             probe_path=self._probe_path,
-            targets=self._targets,
+            targets=self._target_client,
             rng=rng,
             log=_log,
         )
         self.forwarder = Forwarder(
             routes=lambda: self.routes.table,
-            age=lambda: self.mesh.age(self._settings_rows),
+            age=lambda: self.mesh.age(self._settings_replica),
             catching_up=lambda: self.pause_detector.catching_up,
             instances=self.instances,
             chooser=chooser,
             times=self.work_times,
             seeker=self.selector,
-            make_repeats=self._make_repeats,
+            make_repeats=self._make_retry_share,
             guard=self._crash_guard,
-            targets=self._targets,
+            targets=self._target_client,
             observer=self.text_metrics,
             rng=rng,
         )
@@ -223,14 +235,12 @@
         self._servers: list[StreamServer] = []
         self._tasks: set[asyncio.Task[None]] = set()
         self.refusing = False
-        self._stop_asked = asyncio.Event()
-
-    # -- running
+        self._stop_requested = asyncio.Event()
 
     async def run(self) -> None:
-        """Serve until stopped by a signal."""
-        for number in (signal.SIGTERM, signal.SIGINT):
-            self._loop.add_signal_handler(number, self._stop_asked.set)
+        """Serve until SIGTERM, SIGINT or :meth:`request_stop`."""
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            self._loop.add_signal_handler(signal_number, self._stop_requested.set)
         await self._front.listen(self._settings.caller)
         await self.gossip.listen(self._settings.peer)
         event(
@@ -246,22 +256,22 @@
         for follower in self.followers:
             self._spawn(follower.run())
         self._spawn(self.crash_gossip.run())
-        self._spawn(self._look_after())
-        await self._stop_asked.wait()
+        self._spawn(self._maintain())
+        await self._stop_requested.wait()
         await self._stop()
 
     def reload(self, settings: EntrySettings) -> None:
-        """Take over changed settings; addresses, name and place need a restart.
+        """Apply changed settings; a new name, place or address takes effect only at a restart.
 
         Parameters
         ----------
         settings : EntrySettings
         """
-        kept = ("name", "place", "caller", "peer")
-        moved = [n for n in kept if getattr(settings, n) != getattr(self._settings, n)]
-        if moved:
-            event(_log, "reload-needs-restart", level=logging.WARNING, fields=moved)
-        self._settings = replace(settings, **{n: getattr(self._settings, n) for n in kept})
+        fixed = ("name", "place", "caller", "peer")
+        changed = [n for n in fixed if getattr(settings, n) != getattr(self._settings, n)]
+        if changed:
+            event(_log, "reload-needs-restart", level=logging.WARNING, fields=changed)
+        self._settings = replace(settings, **{n: getattr(self._settings, n) for n in fixed})
         self.probes.per_s = settings.probes_per_s
         self.forwarder.change_repeats(
             ratio=settings.retry_ratio,
@@ -272,72 +282,73 @@
 
     def request_stop(self) -> None:
         """Begin a planned stop."""
-        self._stop_asked.set()
+        self._stop_requested.set()
 
     def add_server(self, server: StreamServer) -> None:
-        """Have a further server closed with the box."""
+        """Register a further server, which is closed when the box stops."""
         self._servers.append(server)
 
     @property
     def caller(self) -> Address:
-        """Where callers connect."""
+        """Address on which the box listens for callers."""
         return self._settings.caller
 
     @property
     def ready(self) -> bool:
-        """Whether the box takes new work."""
+        """Whether the box accepts new requests."""
         return self.mesh.state == RUNNING and not self.pause_detector.catching_up
 
-    def _spawn(self, work: Coroutine[None, None, None]) -> None:
-        task = self._loop.create_task(self._guard(work))
+    def _spawn(self, coroutine: Coroutine[None, None, None]) -> None:
+        task = self._loop.create_task(self._run_or_stop(coroutine))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _guard(self, work: Coroutine[None, None, None]) -> None:
-        """Run a task; an error nobody foresaw ends the process, not just the task."""
+    async def _run_or_stop(self, coroutine: Coroutine[None, None, None]) -> None:
+        """Run a task; an unexpected exception stops the whole box, not just the task."""
         try:
-            await work
+            await coroutine
         except Exception:
             _log.critical("task-failed", exc_info=True)
-            self._stop_asked.set()
+            self._stop_requested.set()
             raise
 
-    async def _look_after(self) -> None:
-        """Keep up what depends on time."""
+    async def _maintain(self) -> None:
+        """Update, at regular intervals, all state that depends on time."""
         while True:
             if self.pause_detector.look():
                 self.gossip.request_updates()
             if self.mesh.state not in (RUNNING, DRAINING) and self._can_serve():
                 self.mesh.state = RUNNING
-                era = self._settings_rows.era
-                event(_log, "serving", box=self.mesh.name, version=self._version(), era=era)
+                epoch = self._settings_replica.era
+                event(
+                    _log, "serving", box=self.mesh.name, version=self._settings_version(), era=epoch
+                )
                 self.gossip.announce_state()
-            self._listed.expire()
+            self._target_listing.expire()
             reading = not any(follower.failing for follower in self.followers)
             if reading != self.mesh.reading:
                 self.mesh.reading = reading
                 self.gossip.announce_state()
             self.mesh.in_flight = self.forwarder.in_flight
-            boxes = max(self.mesh.most_boxes, _BOXES_LEAST)
+            boxes = max(self.mesh.most_boxes, _MIN_BOXES)
             self.probes.boxes = boxes
             self.forwarder.set_boxes(boxes)
-            await asyncio.sleep(_LOOK_S)
+            await asyncio.sleep(_MAINTENANCE_INTERVAL_S)
 
     def _can_serve(self) -> bool:
-        known = self.routes.table is not None and all(t.known for t in self.tables.values())
-        return known and self.crash_gossip.may_serve
+        tables_ready = self.routes.table is not None and all(t.known for t in self.tables.values())
+        return tables_ready and self.crash_gossip.may_serve
 
-    def _outdated(self) -> bool:
+    def _is_outdated(self) -> bool:
         return any(self.mesh.age(table) > STALE_S for table in self.tables.values())
 
-    def _version(self) -> int:
+    def _settings_version(self) -> int:
         return 0 if self.routes.table is None else self.routes.table.version
 
-    # -- the planned stop
-
     async def _stop(self) -> None:
+        """Announce that the box leaves, finish requests in flight, and close all servers."""
         plan = StopPlan.within(self._settings.grace)
-        began = self._loop.time()
+        started_at = self._loop.time()
         event(_log, "stopping", box=self.mesh.name, in_flight=self.forwarder.in_flight)
         self.mesh.state = DRAINING
         self.gossip.announce_state()
@@ -347,18 +358,16 @@
         await asyncio.sleep(plan.close - plan.refuse)
         self._front.stop_listening()
         self._front.close_idle()
-        while self.forwarder.in_flight and self._loop.time() - began < plan.end:
-            await asyncio.sleep(_LOOK_S / 2)
-        left = self.forwarder.in_flight
-        # A target that says nothing is no reason to leave a caller without an answer.
+        while self.forwarder.in_flight and self._loop.time() - started_at < plan.end:
+            await asyncio.sleep(_MAINTENANCE_INTERVAL_S / 2)
+        unfinished = self.forwarder.in_flight
+        # Callers whose target has not answered get an error instead of a closed connection.
         self.forwarder.give_up_all()
         await asyncio.sleep(plan.last)
         for server in (self._front, *self._servers):
             await server.close()
         self.gossip.close()
-        event(_log, "stopped", box=self.mesh.name, given_up=left)
-
-    # -- requests
+        event(_log, "stopped", box=self.mesh.name, given_up=unfinished)
 
     async def _serve(self, exchange: Exchange) -> None:
         if self.refusing:
@@ -371,7 +380,7 @@
             return
         await self.forwarder.serve(request, exchange.body(), exchange)
 
-    def _make_repeats(self) -> RepeatShare:
+    def _make_retry_share(self) -> RepeatShare:
         settings = self._settings
         share = RepeatShare(
             ratio=settings.retry_ratio,
@@ -379,7 +388,7 @@
             window=settings.retry_window,
             clock=self._loop.time,
         )
-        share.boxes = max(self.mesh.most_boxes, _BOXES_LEAST)
+        share.boxes = max(self.mesh.most_boxes, _MIN_BOXES)
         return share
 
     def _probe_path(self, service: str) -> str:
@@ -387,48 +396,48 @@
         info = None if table is None else table.services.get(service)
         return "" if info is None else info.probe_path
 
-    # -- what the box believes
-
-    def _on_routes(self, table: RouteTable) -> None:
+    def _apply_routes(self, table: RouteTable) -> None:
         limits = table.limits
         self.limits.head_bytes = limits.head_bytes
         self.limits.body_bytes = limits.body_bytes
         self.limits.head_s = limits.head_s
         self.limits.idle_s = limits.idle_s
         self.forwarder.keep_only({kind.name for kind in table.kinds})
-        most = min((s.connections for s in table.services.values()), default=256)
-        self._targets.set_most(max(4, most // max(self.mesh.most_boxes, _BOXES_LEAST)))
+        max_connections = min((s.connections for s in table.services.values()), default=256)
+        self._target_client.set_most(
+            max(4, max_connections // max(self.mesh.most_boxes, _MIN_BOXES))
+        )
 
-    def _take_targets(self, rows: list[TableRow]) -> None:
-        self._listed.take(rows)
-        self._targets.keep_only(self.instances.addresses())
+    def _apply_target_rows(self, rows: list[TableRow]) -> None:
+        self._target_listing.take(rows)
+        self._target_client.keep_only(self.instances.addresses())
         self.probes.keep_only({instance.name for instance in self.instances.all()})
 
-    # -- metrics
-
     def _gauges(self) -> dict[str, float]:
-        figures = {
+        gauges = {
             "probes_total": float(self.probes.spent),
             "probes_denied_total": float(self.probes.denied),
-            "connections_opened_total": float(self._targets.opened),
-            "entries_unreadable_total": float(self._listed.unreadable + self.routes.unreadable),
+            "connections_opened_total": float(self._target_client.opened),
+            "entries_unreadable_total": float(
+                self._target_listing.unreadable + self.routes.unreadable
+            ),
             "rests_asked_total": float(self.selector.rests_asked),
             "targets_ended_total": float(self._crash_guard.targets_ended),
             "requests_barred": float(self.crashes.barred),
             "store_calls_total": float(self._adapter.store_calls()),
             "store_failures_total": float(self._adapter.store_failures()),
-            "settings_version": float(self._version()),
+            "settings_version": float(self._settings_version()),
             "boxes_live": float(len(self.mesh.live()) + 1),
             "in_flight": float(self.forwarder.in_flight),
             "word_bytes_total": float(self.gossip.sent_bytes),
             "log_lines_dropped_total": float(self._dropped_lines()),
         }
         for name, table in self.tables.items():
-            figures[f'table_age_seconds{{table="{name}"}}'] = round(self.mesh.age(table), 3)
-        return figures
+            gauges[f'table_age_seconds{{table="{name}"}}'] = round(self.mesh.age(table), 3)
+        return gauges
 
 
 async def run_until_stopped(box: EntryBox) -> None:
-    """Run a box; a cancelled run ends quietly."""
+    """Run a box until it stops; cancellation is not raised to the caller."""
     with contextlib.suppress(asyncio.CancelledError):
         await box.run()
