--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -195,12 +195,12 @@
             self.crashes,
             self.mesh,
             adapter.rows,
-            send=self.gossip.send_crashes,
+            send=self.gossip.send_crash_reports,
             on_known=self.gossip.announce_state,
             era=lambda: max(table.era for table in self.tables.values()),
             rng=rng,
         )
-        self.gossip.join(self.crash_gossip, self.followers)
+        self.gossip.attach(self.crash_gossip, self.followers)
         self._crash_guard = CrashGuard(
             self.crashes, self._target_client, tell=self.crash_gossip.tell
         )
--- a/dunlinnotch/daemon/gossip.py
+++ b/dunlinnotch/daemon/gossip.py
@@ -1,4 +1,4 @@
-"""What an entry box tells its peers, takes in from them, and fetches of what it lacks."""
+"""Gossip between entry boxes: heartbeats, crash reports, and table updates fetched from peers."""
 
 from __future__ import annotations
 
@@ -25,38 +25,40 @@
 
     Spawn = Callable[[Coroutine[None, None, None]], None]
 
-#: Time between two words of a box, in seconds.
+#: Mean interval between two heartbeats of a box, in seconds.
 HEARTBEAT_INTERVAL_S = 0.5
-#: Time that a new box gives its peers to tell it their tables before it reads the store,
-#: and up to how much more if it hears nobody: boxes that start together are not up at once.
-_HEAR_FIRST_S = 0.12
-_HEAR_ANYBODY_S = 0.4
-#: Pause between two looks whether they have, in seconds.
-_HEAR_LOOK_S = 0.01
-#: Looks after each of which a box that starts asks its seeds again.
-_HEAR_LOOKS = 4
-_FETCH_S = 1.0
-#: Peers that a box asks on waking: some of them may have stood still too.
-_ASKED_ON_WAKING = 3
+#: Time for which a new box waits for tables from its peers before it reads the store, in
+#: seconds, and the maximum by which this is extended while no peer answers: boxes that start
+#: together do not listen at once.
+_INITIAL_SYNC_S = 0.12
+_MAX_EXTRA_SYNC_S = 0.4
+#: Interval at which a new box checks whether it has all tables, in seconds.
+_SYNC_POLL_INTERVAL_S = 0.01
+#: Number of such checks before a new box contacts its seeds again.
+_POLLS_PER_REQUEST = 4
+_FETCH_TIMEOUT_S = 1.0
+#: Peers asked after a pause of this box: several, because some may have been paused too.
+_MAX_PEERS_ASKED_AFTER_PAUSE = 3
 
 _log = logging.getLogger(__name__)
 
 
 class Gossip:
-    """Tell peers what this box knows, and take in what they tell.
+    """Exchange heartbeats, crash reports and tables with the peers of a box.
 
     Parameters
     ----------
     mesh : Mesh
+        Membership view of this box, updated by the heartbeats received.
     tables : sequence of FollowedTable
-        What a peer may lack, or have further than this box.
+        Replicas of store tables that boxes fetch from one another.
     routes : RoutesInForce
     settings_table : str
-        The one of the tables that holds the settings.
+        Name of the table that holds the settings.
     seeds : callable
-        Returns the peers to ask while none is known.
+        Returns the addresses of peers to contact while they are not known yet.
     spawn : callable
-        Runs a task that ends with the box.
+        Starts a task that is supervised by the box.
     rng : random.Random
     """
 
@@ -75,154 +77,172 @@
         self._tables = {table.name: table for table in tables}
         self._routes = routes
         self._settings_table = settings_table
-        self._all_seeds = seeds
+        self._configured_seeds = seeds
         self._spawn = spawn
         self._rng = rng
         self._loop = asyncio.get_running_loop()
-        self._words = GossipPort(self._take_word, self._take_crashes)
-        self._table_port = TablePort(self._tell_table)
+        self._gossip_port = GossipPort(self._on_heartbeat, self._on_crash_report)
+        self._table_port = TablePort(self._read_delta)
         self._fetching: set[str] = set()
-        self._crash_news: CrashNews | None = None
+        self._crash_gossip: CrashNews | None = None
         self._followers: Sequence[TableFollower] = ()
 
-    def join(self, crash_news: CrashNews, followers: Sequence[TableFollower]) -> None:
-        """Pass on what peers tell to those that also tell by this; once, before it listens."""
-        self._crash_news = crash_news
+    def attach(self, crash_gossip: CrashNews, followers: Sequence[TableFollower]) -> None:
+        """Set the receivers of crash reports and of updates; to be called before :meth:`listen`."""
+        self._crash_gossip = crash_gossip
         self._followers = followers
 
     async def listen(self, address: Address) -> None:
-        """Begin to listen to peers."""
+        """Start to listen for datagrams and table requests of peers."""
         await self._table_port.listen(address)
         host, _, port = address.rpartition(":")
-        await self._loop.create_datagram_endpoint(lambda: self._words, local_addr=(host, int(port)))
+        await self._loop.create_datagram_endpoint(
+            lambda: self._gossip_port, local_addr=(host, int(port))
+        )
 
     def close(self) -> None:
-        """Tell no more tables."""
+        """Stop serving tables to peers."""
         self._table_port.close()
 
     @property
     def sent_bytes(self) -> int:
-        """Bytes of datagrams sent so far."""
-        return self._words.sent_bytes
-
-    # -- telling
+        """Number of bytes sent in datagrams so far."""
+        return self._gossip_port.sent_bytes
 
     async def run(self) -> None:
-        """Send this box's word now and then."""
+        """Send a heartbeat at regular intervals."""
         while True:
-            self._send_word()
+            self._send_heartbeats()
             self._mesh.note_silent()
             await asyncio.sleep(HEARTBEAT_INTERVAL_S * (0.9 + 0.2 * self._rng.random()))
 
     async def sync_with_peers(self) -> None:
-        """Ask the seeds for what they know before the store is read."""
-        began = self._loop.time()
-        alone = _HEAR_ANYBODY_S * self._rng.random() if self._seeds() else 0.0
+        """Wait, for a limited time, until the tables have been received from the seeds."""
+        started_at = self._loop.time()
+        extra = _MAX_EXTRA_SYNC_S * self._rng.random() if self._seeds() else 0.0
         while True:
-            self._ask(self._seeds())
-            for _ in range(_HEAR_LOOKS):
-                await asyncio.sleep(_HEAR_LOOK_S)
+            self._request_heartbeats(self._seeds())
+            for _ in range(_POLLS_PER_REQUEST):
+                await asyncio.sleep(_SYNC_POLL_INTERVAL_S)
                 if all(table.known for table in self._tables.values()):
                     return
-            wait = _HEAR_FIRST_S + (0.0 if self._mesh.live() else alone)
-            if self._loop.time() - began >= wait:
+            wait = _INITIAL_SYNC_S + (0.0 if self._mesh.live() else extra)
+            if self._loop.time() - started_at >= wait:
                 return
 
     def request_updates(self) -> None:
-        """Ask a few peers what has changed: their answers come within a round trip."""
-        near = self._mesh.to_tell()
-        self._ask(self._rng.sample(near, min(_ASKED_ON_WAKING, len(near))))
+        """Ask a few peers for their heartbeats, which show within a round trip what changed."""
+        peers = self._mesh.to_tell()
+        self._request_heartbeats(
+            self._rng.sample(peers, min(_MAX_PEERS_ASKED_AFTER_PAUSE, len(peers)))
+        )
 
     def announce_state(self) -> None:
-        """Tell peers at once that something changed at this box."""
-        self._tell_all(self._mesh.to_tell())
+        """Send a heartbeat at once, because the state of this box changed."""
+        self._announce(self._mesh.to_tell())
 
     def announce_read(self, changed: bool) -> None:
-        """Tell peers at once what this box, as a reader, had from the store."""
+        """Send a heartbeat at once, because this box read the store.
+
+        Parameters
+        ----------
+        changed : bool
+            Whether the read changed the table.
+        """
         if changed:
-            self._tell_all(self._mesh.to_tell_news())
+            self._announce(self._mesh.to_tell_news())
         elif self._mesh.is_first():
-            # Its place knows by this that nothing changed, and need not read for itself.
-            self._words.send([self._mesh.own_word()], self._mesh.to_tell())
-
-    def send_crashes(self, seen: Iterable[SeenCrashes], to: Iterable[Address]) -> None:
-        """Send evidence on requests under which targets ended."""
-        self._words.send(seen, to)
-
-    def _send_word(self) -> None:
-        known = {word.peer for word in self._mesh.others()}
-        strange = [seed for seed in self._seeds() if seed not in known]
-        if strange:
-            self._ask(strange)
-        self._tell_all(self._mesh.to_tell())
-
-    def _ask(self, peers: Sequence[Address]) -> None:
-        self._words.send([self._mesh.own_word(wants_word=True)], peers)
-
-    def _tell_all(self, near: list[Address]) -> None:
-        """Send this box's word to peers near by, and to a few far away with what they lack."""
-        word = self._mesh.own_word()
-        self._words.send([word], near)
-        self._words.send([word, *self._mesh.follower()], self._mesh.to_tell_far())
-
-    def _introduce(self, word: BoxWord) -> None:
-        """Answer a box that knows few others with the words of those that it is to know."""
-        words = [self._mesh.own_word(), *self._mesh.introductions(word.place)]
-        self._words.send(words, [word.peer])
+            # Confirms to the other boxes of the place that their tables are current, so that
+            # they need not read the store themselves.
+            self._gossip_port.send([self._mesh.own_word()], self._mesh.to_tell())
+
+    def send_crash_reports(self, reports: Iterable[SeenCrashes], to: Iterable[Address]) -> None:
+        """Send reports of targets that crashed while serving a request."""
+        self._gossip_port.send(reports, to)
+
+    def _send_heartbeats(self) -> None:
+        known = {heartbeat.peer for heartbeat in self._mesh.others()}
+        unknown = [seed for seed in self._seeds() if seed not in known]
+        if unknown:
+            self._request_heartbeats(unknown)
+        self._announce(self._mesh.to_tell())
+
+    def _request_heartbeats(self, peers: Sequence[Address]) -> None:
+        self._gossip_port.send([self._mesh.own_word(wants_word=True)], peers)
+
+    def _announce(self, peers: list[Address]) -> None:
+        """Send a heartbeat to some peers and to a few of other places.
+
+        Notes
+        -----
+        Peers of other places also get the heartbeat of the box that reads the store here.
+        """
+        heartbeat = self._mesh.own_word()
+        self._gossip_port.send([heartbeat], peers)
+        self._gossip_port.send([heartbeat, *self._mesh.follower()], self._mesh.to_tell_far())
+
+    def _introduce(self, heartbeat: BoxWord) -> None:
+        """Reply to a request for heartbeats with those of the peers that the sender needs."""
+        heartbeats = [self._mesh.own_word(), *self._mesh.introductions(heartbeat.place)]
+        self._gossip_port.send(heartbeats, [heartbeat.peer])
 
     def _seeds(self) -> list[Address]:
-        return [seed for seed in self._all_seeds() if seed != self._mesh.peer]
-
-    # -- hearing
+        return [seed for seed in self._configured_seeds() if seed != self._mesh.peer]
 
-    def _take_word(self, word: BoxWord) -> None:
-        new = not self._mesh.knows(word.name)
-        if not self._mesh.take(word):
-            later = self._mesh.later_start(word)
+    def _on_heartbeat(self, heartbeat: BoxWord) -> None:
+        new = not self._mesh.knows(heartbeat.name)
+        if not self._mesh.take(heartbeat):
+            # The sender learns that peers know a later start of it and ignore this one.
+            later = self._mesh.later_start(heartbeat)
             if later is not None:
-                self._words.send([later], [word.peer])
+                self._gossip_port.send([later], [heartbeat.peer])
             return
-        if self._crash_news is not None:
-            self._crash_news.heard(word)
-        if word.wants_word:
-            self._introduce(word)
+        if self._crash_gossip is not None:
+            self._crash_gossip.heard(heartbeat)
+        if heartbeat.wants_word:
+            self._introduce(heartbeat)
         elif new:
-            # It may know this box as little.
-            self._words.send([self._mesh.own_word()], [word.peer])
-        for table in self._mesh.newer(word):
+            # The sender may not know this box yet either.
+            self._gossip_port.send([self._mesh.own_word()], [heartbeat.peer])
+        for table in self._mesh.newer(heartbeat):
             if table not in self._fetching:
                 self._fetching.add(table)
-                self._spawn(self._fetch(table, word.peer))
+                self._spawn(self._fetch(table, heartbeat.peer))
 
-    def _take_crashes(self, seen: SeenCrashes) -> None:
-        if self._crash_news is not None:
-            self._crash_news.take(seen)
-
-    # -- tables
+    def _on_crash_report(self, report: SeenCrashes) -> None:
+        if self._crash_gossip is not None:
+            self._crash_gossip.take(report)
 
     async def _fetch(self, table: str, peer: Address) -> None:
-        followed = self._tables[table]
-        version = followed.version if followed.known else 0
-        sent = self._loop.time()
+        """Fetch from a peer the changes of a table since the local version, and apply them."""
+        replica = self._tables[table]
+        version = replica.version if replica.known else 0
+        sent_at = self._loop.time()
         try:
             delta, age_ms = await fetch_table(
-                peer, table, version, era=followed.era, timeout=_FETCH_S
+                peer, table, version, era=replica.era, timeout=_FETCH_TIMEOUT_S
             )
         except (ProtocolError, OSError, TimeoutError) as error:
             event(_log, "fetch-failed", table=table, peer=peer, detail=repr(error))
             return
         finally:
             self._fetching.discard(table)
-        if age_ms >= 0 and followed.take(delta, at=sent - age_ms / 1000):
+        if age_ms >= 0 and replica.take(delta, at=sent_at - age_ms / 1000):
             event(_log, "table-fetched", table=table, peer=peer, version=delta.version)
-            self._words.send([self._mesh.own_word()], self._mesh.to_tell_news())
+            self._gossip_port.send([self._mesh.own_word()], self._mesh.to_tell_news())
             for follower in self._followers:
                 follower.look_again()
 
-    def _tell_table(self, table: str, version: int, era: int) -> tuple[TableDelta, int]:
-        followed = self._tables[table]
-        delta = followed.since(version, era)
+    def _read_delta(self, table: str, version: int, epoch: int) -> tuple[TableDelta, int]:
+        """Return the changes of a table since a version, and the age of the table in ms.
+
+        Notes
+        -----
+        The age is -1 if this box has not received the table yet.
+        """
+        replica = self._tables[table]
+        delta = replica.since(version, epoch)
         if table == self._settings_table:
             delta = self._routes.told(delta)
-        age: Seconds = self._mesh.age(followed)
-        return delta, int(age * 1000) if followed.known else -1
+        age: Seconds = self._mesh.age(replica)
+        return delta, int(age * 1000) if replica.known else -1
