--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -363,7 +363,7 @@
         unfinished = self.forwarder.in_flight
         # Callers whose target has not answered get an error instead of a closed connection.
         self.forwarder.give_up_all()
-        await asyncio.sleep(plan.last)
+        await asyncio.sleep(plan.flush)
         for server in (self._front, *self._servers):
             await server.close()
         self.gossip.close()
--- a/dunlinnotch/daemon/loop.py
+++ b/dunlinnotch/daemon/loop.py
@@ -1,4 +1,4 @@
-"""The event loop of an entry box."""
+"""Event loop of an entry box."""
 
 from __future__ import annotations
 
@@ -8,16 +8,15 @@
 
 
 class ElapsedTimeLoop(asyncio.SelectorEventLoop):
-    """An event loop whose time goes on while the box is suspended.
+    """An event loop whose clock advances while the machine is suspended.
 
     Notes
     -----
-    All that depends on how old something is asks the loop for its time: deadlines,
-    knowledge of targets and peers, budgets, pauses.  By the usual clock a box that was
-    suspended for seconds would take requests, reports and leaving targets for as fresh as
-    when it stopped.
+    Deadlines, budgets, delays and the ages of load reports and heartbeats are measured with
+    the clock of the loop.  With the usual clock, which stops during suspension, a resumed box
+    would treat outdated requests and reports as fresh.
     """
 
     def time(self) -> float:
-        """Return seconds that go on while the box is suspended."""
+        """Return monotonic seconds, including time during which the machine is suspended."""
         return elapsed()
--- a/dunlinnotch/daemon/metrics_text.py
+++ b/dunlinnotch/daemon/metrics_text.py
@@ -1,7 +1,6 @@
-"""Counters and latency histograms of an entry box, told as text on request.
+"""Counters and latency histograms of an entry box in the Prometheus text format.
 
-The text is the exposition format that most collectors read: one figure a
-line, ``name{label="value"} number``.
+Each line holds one value: ``name{label="value"} number``.
 """
 
 from __future__ import annotations
@@ -15,12 +14,12 @@
     from dunlinnotch.coordination.requests.run import Ending
     from dunlinnotch.types import Seconds
 
-#: Upper ends of the histograms' buckets, in seconds.
+#: Upper bounds of the buckets of the latency histograms, in seconds.
 BUCKETS = (0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 2.0, 5.0)
 
 
 class TextMetricInfo(NamedTuple):
-    """Name, type, labels and meaning of one figure."""
+    """Name, type, labels and description of one metric."""
 
     name: str
     type: str
@@ -28,26 +27,26 @@
     meaning: str
 
 
-#: All figures; ``docs/METRICS.md`` is generated from this table.
+#: All metrics; ``docs/METRICS.md`` is generated from this table.
 TEXT_METRICS = (
-    TextMetricInfo("requests_total", "counter", "kind, outcome, reason", "Requests ended."),
-    TextMetricInfo("sends_total", "counter", "", "Targets that requests were sent to."),
-    TextMetricInfo("request_seconds", "histogram", "kind", "From the head to the end."),
+    TextMetricInfo("requests_total", "counter", "kind, outcome, reason", "Requests completed."),
+    TextMetricInfo("sends_total", "counter", "", "Requests sent to targets, retries included."),
+    TextMetricInfo("request_seconds", "histogram", "kind", "From request head to end, in seconds."),
     TextMetricInfo("probes_total", "counter", "", "Probes sent to targets."),
-    TextMetricInfo("probes_denied_total", "counter", "", "Probes for which no budget was left."),
+    TextMetricInfo("probes_denied_total", "counter", "", "Probes not sent for lack of budget."),
     TextMetricInfo("connections_opened_total", "counter", "", "Connections opened to targets."),
-    TextMetricInfo("entries_unreadable_total", "counter", "", "Rows that could not be read."),
-    TextMetricInfo("rests_asked_total", "counter", "", "Times that a target asked for rest."),
-    TextMetricInfo("targets_ended_total", "counter", "", "Targets that ended under a request."),
-    TextMetricInfo("requests_barred", "gauge", "", "Requests sent to no target: they end them."),
-    TextMetricInfo("store_calls_total", "counter", "", "Calls made to the platform's store."),
-    TextMetricInfo("store_failures_total", "counter", "", "Calls to the store without an answer."),
-    TextMetricInfo("settings_version", "gauge", "", "Settings version in force; 0 before any."),
-    TextMetricInfo("table_age_seconds", "gauge", "table", "Since a table was known to be all."),
-    TextMetricInfo("boxes_live", "gauge", "", "Boxes heard lately, this one included."),
+    TextMetricInfo("entries_unreadable_total", "counter", "", "Store rows that failed to parse."),
+    TextMetricInfo("rests_asked_total", "counter", "", "Back-off requests of targets."),
+    TextMetricInfo("targets_ended_total", "counter", "", "Targets that crashed during a request."),
+    TextMetricInfo("requests_barred", "gauge", "", "Requests quarantined for crashing targets."),
+    TextMetricInfo("store_calls_total", "counter", "", "Calls to the platform's store."),
+    TextMetricInfo("store_failures_total", "counter", "", "Calls to the store that got no answer."),
+    TextMetricInfo("settings_version", "gauge", "", "Active settings version; 0 if none."),
+    TextMetricInfo("table_age_seconds", "gauge", "table", "Time since a table was last current."),
+    TextMetricInfo("boxes_live", "gauge", "", "Live boxes, this one included."),
     TextMetricInfo("in_flight", "gauge", "", "Requests being served."),
-    TextMetricInfo("word_bytes_total", "counter", "", "Bytes of words sent to peers."),
-    TextMetricInfo("log_lines_dropped_total", "counter", "", "Log lines left out."),
+    TextMetricInfo("word_bytes_total", "counter", "", "Bytes of datagrams sent to peers."),
+    TextMetricInfo("log_lines_dropped_total", "counter", "", "Log lines dropped."),
 )
 
 
@@ -62,12 +61,12 @@
 
 
 class TextMetrics:
-    """Count, and tell the counts.
+    """Collect the metrics of an entry box and render them as text.
 
     Parameters
     ----------
     gauges : callable
-        Returns figures that are read rather than counted: name with labels to value.
+        Returns the values of all metrics that are not counted here, by name with labels.
     """
 
     def __init__(self, gauges: Callable[[], dict[str, float]]) -> None:
@@ -77,7 +76,18 @@
         self._sends = 0
 
     def request_ended(self, kind: str, ending: Ending, took: Seconds, sends: int) -> None:
-        """Count the end of a request."""
+        """Count a completed request.
+
+        Parameters
+        ----------
+        kind : str
+            Name of the route.
+        ending : Ending
+        took : float
+            Duration in seconds.
+        sends : int
+            Number of times the request was sent to a target.
+        """
         reason = "" if ending.reason is None else ending.reason.value
         key = (kind, ending.outcome.value, reason)
         self._requests[key] = self._requests.get(key, 0) + 1
@@ -85,7 +95,7 @@
         self._times.setdefault(kind, _Histogram()).add(took)
 
     def text(self) -> str:
-        """Return all figures as text."""
+        """Return all metrics as text."""
         lines = []
         for (kind, outcome, reason), count in sorted(self._requests.items()):
             labels = f'kind="{kind}",outcome="{outcome}",reason="{reason}"'
@@ -100,10 +110,10 @@
 def _histogram_lines(kind: str, histogram: _Histogram) -> list[str]:
     lines = []
     total = 0
-    for end, count in zip((*BUCKETS, float("inf")), histogram.counts, strict=True):
+    for bound, count in zip((*BUCKETS, float("inf")), histogram.counts, strict=True):
         total += count
-        shown = "+Inf" if end == float("inf") else f"{end:g}"
-        lines.append(f'dunlinnotch_request_seconds_bucket{{kind="{kind}",le="{shown}"}} {total}')
+        label = "+Inf" if bound == float("inf") else f"{bound:g}"
+        lines.append(f'dunlinnotch_request_seconds_bucket{{kind="{kind}",le="{label}"}} {total}')
     lines.append(f'dunlinnotch_request_seconds_sum{{kind="{kind}"}} {histogram.sum:.6f}')
     lines.append(f'dunlinnotch_request_seconds_count{{kind="{kind}"}} {total}')
     return lines
--- a/dunlinnotch/daemon/stop.py
+++ b/dunlinnotch/daemon/stop.py
@@ -1,4 +1,4 @@
-"""A planned stop on a signal: what a box still does at which moment of its grace."""
+"""Schedule of a planned stop within the grace period between the stop signal and the kill."""
 
 from __future__ import annotations
 
@@ -8,35 +8,41 @@
 if TYPE_CHECKING:
     from dunlinnotch.types import Seconds
 
-#: Parts of the grace after which the box takes no new work, closes idle
-#: connections, gives a last answer to whatever is left, and the time for that to go out.
-_REFUSE, _CLOSE, _END, _LAST = 0.5, 0.75, 0.94, 0.02
+#: Fractions of the grace period after which the box refuses new requests, closes idle
+#: connections and answers all requests still in flight; the last one is the time for sending
+#: these answers.
+_REFUSE_FRACTION, _CLOSE_FRACTION, _END_FRACTION, _FLUSH_FRACTION = 0.5, 0.75, 0.94, 0.02
 
 
 @dataclass(frozen=True, slots=True)
 class StopPlan:
-    """Moments of a planned stop, in seconds from the signal.
+    """Schedule of a planned stop; all values are in seconds.
 
     Parameters
     ----------
     refuse : float
-        New requests are refused as not run: callers have had time to learn
-        that the box leaves, and what is taken later might not end in time.
+        Time after the signal from which new requests are refused as not run.  Callers have
+        had time to learn that the box leaves, and later requests might not finish in time.
     close : float
-        The box listens no more, closes idle connections, and ends as soon as
-        nothing is in flight.
+        Time after the signal at which the box stops listening and closes idle connections.
+        From then on it stops as soon as no request is in flight.
     end : float
-        The box ends; what is in flight gets its final answer.
-    last : float
-        Time for those answers to go out.
+        Time after the signal at which requests still in flight get their final answer.
+    flush : float
+        Time for sending these answers.
     """
 
     refuse: Seconds
     close: Seconds
     end: Seconds
-    last: Seconds
+    flush: Seconds
 
     @classmethod
     def within(cls, grace: Seconds) -> StopPlan:
-        """Return the plan for a platform that kills after ``grace``."""
-        return cls(grace * _REFUSE, grace * _CLOSE, grace * _END, grace * _LAST)
+        """Return the plan for a grace period in seconds."""
+        return cls(
+            grace * _REFUSE_FRACTION,
+            grace * _CLOSE_FRACTION,
+            grace * _END_FRACTION,
+            grace * _FLUSH_FRACTION,
+        )
