--- a/dunlinnotch/daemon/operator.py
+++ b/dunlinnotch/daemon/operator.py
@@ -1,4 +1,4 @@
-"""The operator port: status, settings, why this choice."""
+"""HTTP interface for operators: status, settings, targets and log level of a box."""
 
 from __future__ import annotations
 
@@ -24,20 +24,20 @@
     from dunlinnotch.transport.peers import PeerLinks
 
 _JSON = Header("Content-Type", "application/json")
-_BODY_MAX = 4 * 1024 * 1024
+_MAX_BODY_BYTES = 4 * 1024 * 1024
 
 _log = logging.getLogger(__name__)
 
 
 class OperatorPort:
-    """Serve operators.
+    """Serve requests of operators.
 
     Parameters
     ----------
     core : BoxCore
     links : PeerLinks
     peer_bytes : callable
-        Returns the bytes sent to peers since the start.
+        Returns the number of bytes sent to peers since the start.
     """
 
     def __init__(self, core: BoxCore, links: PeerLinks, *, peer_bytes: Callable[[], int]) -> None:
@@ -59,8 +59,12 @@
         route = self._routes.get((exchange.method, url.path))
         query = {name: values[0] for name, values in parse_qs(url.query).items()}
         if route is None:
-            known = ", ".join(f"{method} {path}" for method, path in self._routes)
-            self._send(exchange, 404, Failure("path-unknown", f"known: {known}"))
+            allowed = ", ".join(f"{method} {path}" for method, path in self._routes)
+            self._send(
+                exchange,
+                404,
+                Failure("path-unknown", f"{exchange.method} {url.path}; allowed: {allowed}"),
+            )
             return
         try:
             self._send(exchange, 200, route(query, _read(exchange)))
@@ -68,7 +72,7 @@
             self._send(exchange, 400, Failure(error.code, str(error)))
 
     def bad_head(self, reason: Reason, detail: str) -> HeadRefusal:
-        """Return the answer to a head that can't be used."""
+        """Return the answer to an invalid request head."""
         return HeadRefusal(400, [_JSON], _codec.to_json(Failure(reason.value, detail)))
 
     @staticmethod
@@ -113,16 +117,16 @@
         scores = [] if pool is None else pool.scores()
         return tuple(
             TargetNow(
-                t.address,
-                t.place,
+                target.address,
+                target.place,
                 round(score, 3),
-                t.own,
-                round(t.others, 2),
-                round(t.doubt, 3),
-                t.leaving,
-                t.aside,
+                target.own,
+                round(target.others, 2),
+                round(target.doubt, 3),
+                target.leaving,
+                target.aside,
             )
-            for t, score in scores
+            for target, score in scores
         )
 
     def _log_level(self, query: dict[str, str], _body: bytes) -> object:
@@ -140,9 +144,10 @@
 
 
 def _read(exchange: Exchange) -> bytes:
+    """Return the body of a request, truncated after the part that exceeds the limit."""
     data = bytearray()
     for part in exchange.body():
         data += part
-        if len(data) > _BODY_MAX:
+        if len(data) > _MAX_BODY_BYTES:
             break
     return bytes(data)
