--- a/dunlinnotch/daemon/__init__.py
+++ b/dunlinnotch/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon, one plain process for each box."""
+"""The daemon: one process per box."""
--- a/dunlinnotch/daemon/__main__.py
+++ b/dunlinnotch/daemon/__main__.py
@@ -13,7 +13,7 @@
 from dunlinnotch.daemon.box import Box
 from dunlinnotch.errors import ConfigError
 
-#: Exit status for settings that can't be used.
+#: Exit status if the INI file is invalid or can't be read.
 EXIT_CONFIG = 2
 
 
--- a/dunlinnotch/daemon/box.py
+++ b/dunlinnotch/daemon/box.py
@@ -1,4 +1,4 @@
-"""One box as a process: the core with its ports and the threads that keep it going."""
+"""Run a box as a process: its core, its servers and the threads that drive them."""
 
 from __future__ import annotations
 
@@ -32,28 +32,29 @@
     from dunlinnotch.protocol.attempt import LoadReport
     from dunlinnotch.types import Address
 
-#: How often waiting calls are looked at while some wait, in seconds.
-_PUMP_S = 0.005
-#: How often the prober looks for gaps, in seconds.
-_PROBE_LOOK_S = 0.25
-#: How often a drain looks whether it may go on, in seconds.
-_DRAIN_LOOK_S = 0.05
-#: A box that is no reader reads the table this many times more rarely.
-_RARE_READS = 10
-#: Renewals tried within one lease of a probe seat.
-_RENEWALS = 3
-#: How long a box without a seat waits before it asks again, in seconds.
-_SEAT_WAIT_S = 5.0
-#: How long a stopped box goes on telling its peers, in heartbeats.
-_LAST_WORDS = 3
-#: How long a thread may keep others from running, in seconds; see docs/design/hop.md.
-_SWITCH_S = 0.0005
+#: Interval at which waiting calls are dispatched while there are any, in seconds.
+_DISPATCH_INTERVAL_S = 0.005
+#: Interval at which targets without recent reports are probed, in seconds.
+_PROBE_INTERVAL_S = 0.25
+#: Interval at which the progress of a drain is checked, in seconds.
+_DRAIN_POLL_INTERVAL_S = 0.05
+#: Factor by which boxes that are not readers poll the table less often.
+_NON_READER_FACTOR = 10
+#: Renewals attempted during one probe lease.
+_RENEWALS_PER_LEASE = 3
+#: Interval between two attempts to acquire a probe lease, in seconds.
+_LEASE_RETRY_S = 5.0
+#: Heartbeat intervals for which a stopped box still informs its peers.
+_FINAL_HEARTBEATS = 3
+#: Interval after which the interpreter may switch threads, in seconds: its default delays
+#: requests while another thread computes; see docs/design/hop.md.
+_THREAD_SWITCH_INTERVAL_S = 0.0005
 
 _log = logging.getLogger(__name__)
 
 
 class Box:
-    """A running box.
+    """One box: serves callers, operators and peers from threads of this process.
 
     Parameters
     ----------
@@ -66,7 +67,7 @@
         self._rng = random.Random()
         self._stopped = threading.Event()
         self._changed = threading.Event()
-        #: Whether the process was told to stop by a signal, which no edit calls off.
+        #: Whether a signal requested the stop; an edit of the settings can't cancel it then.
         self.signalled = False
         self.metrics = Metrics(
             config.metrics.statsd,
@@ -74,7 +75,7 @@
             clock=self._clock,
         )
         self.core = self._make_core()
-        self.server = self._make_front()
+        self.server = self._make_caller_server()
         self._peer_server = PeerServer(split_address(config.box.peer), self.core.membership)
         self.links = PeerLinks(
             self.core.membership,
@@ -87,11 +88,11 @@
         self._operator_server = HttpServer(
             split_address(config.box.operator), operator, operator.bad_head, connections=64
         )
-        sys.setswitchinterval(_SWITCH_S)
+        sys.setswitchinterval(_THREAD_SWITCH_INTERVAL_S)
 
     @property
     def closing(self) -> bool:
-        """Whether callers' connections are closed between requests."""
+        """Whether connections of callers are closed after the current request."""
         return self.server.closing
 
     @closing.setter
@@ -138,7 +139,7 @@
             on_settings=self._changed.set,
         )
 
-    def _make_front(self) -> HttpServer:
+    def _make_caller_server(self) -> HttpServer:
         limits = self.config.limits
         front = CallerFront(self.core, clock=self._clock)
         return HttpServer(
@@ -151,19 +152,19 @@
         )
 
     def run(self) -> None:
-        """Serve until drained or stopped."""
+        """Serve until the box has drained or a thread has failed."""
         self._peer_server.start()
         self.links.start()
         loops = (
-            self._follow,
+            self._follow_table,
             self._maintain,
-            self._pump,
-            self._probe,
-            self._keep_seat,
+            self._dispatch_waiting,
+            self._probe_targets,
+            self._renew_probe_lease,
             self._advance_drain,
         )
         for loop in loops:
-            thread = threading.Thread(target=self._keep_going, args=(loop,), daemon=True)
+            thread = threading.Thread(target=self._run_or_stop, args=(loop,), daemon=True)
             thread.name = loop.__name__.strip("_")
             thread.start()
         self._operator_server.start_in_background()
@@ -171,7 +172,7 @@
         event(_log, "started", box=self.core.name, caller=self.config.box.caller)
         self._stopped.wait()
         self.links.wake()
-        time.sleep(self.config.peers.heartbeat_ms / 1000 * _LAST_WORDS)
+        time.sleep(self.config.peers.heartbeat_ms / 1000 * _FINAL_HEARTBEATS)
         self.server.close()
         self._operator_server.close()
         self.links.close()
@@ -180,17 +181,17 @@
 
     @property
     def peer_bytes(self) -> int:
-        """Bytes sent to peers since the start."""
+        """Number of bytes sent to peers since the start."""
         return self.links.sent_bytes + self._peer_server.sent_bytes
 
     def stop(self) -> None:
-        """Begin a planned stop that no edit calls off."""
+        """Begin a planned stop that an edit of the settings can't cancel."""
         self.signalled = True
         self.core.begin_drain()
         self.links.wake()
 
-    def _keep_going(self, loop: Callable[[], None]) -> None:
-        """Run a loop; an error nobody foresaw ends the process, not just a thread."""
+    def _run_or_stop(self, loop: Callable[[], None]) -> None:
+        """Run a loop; an unexpected exception stops the process, not just the thread."""
         try:
             loop()
         except Exception:
@@ -198,8 +199,8 @@
             self._stopped.set()
             raise
 
-    def _follow(self) -> None:
-        """Read the table: often if this box is one of its place's readers, else rarely."""
+    def _follow_table(self) -> None:
+        """Poll the table; boxes that are not readers of their place poll less often."""
         poll = self.config.platform.poll_ms / 1000
         while not self._stopped.is_set():
             try:
@@ -207,11 +208,11 @@
                     self.links.wake()
             except PlatformUnavailableError as error:
                 event(_log, "platform-unavailable", level=logging.WARNING, detail=str(error))
-            rare = 1 if self.core.is_reader() else _RARE_READS
-            self._stopped.wait(poll * rare * (0.9 + 0.2 * self._rng.random()))
+            factor = 1 if self.core.is_reader() else _NON_READER_FACTOR
+            self._stopped.wait(poll * factor * (0.9 + 0.2 * self._rng.random()))
 
     def _maintain(self) -> None:
-        """Renew this box's row and what depends on the other boxes' rows."""
+        """Renew the row of this box and all state that depends on the rows of other boxes."""
         period = self.config.peers.row_ms / 1000
         while not self._stopped.is_set():
             self.core.maintain()
@@ -234,17 +235,17 @@
         if age is not None:
             self.metrics.gauge(Metric.TABLE_AGE, age)
 
-    def _pump(self) -> None:
-        """Let waiting calls go as estimates age, while any wait."""
+    def _dispatch_waiting(self) -> None:
+        """Dispatch waiting calls at intervals, as load estimates change without an event."""
         directory = self.core.directory
         while not self._stopped.is_set():
             directory.some_wait.wait()
             directory.some_wait.clear()
             while any(pool.pump() for pool in directory.pools()):
-                time.sleep(_PUMP_S)
+                time.sleep(_DISPATCH_INTERVAL_S)
 
-    def _probe(self) -> None:
-        while not self._stopped.wait(_PROBE_LOOK_S):
+    def _probe_targets(self) -> None:
+        while not self._stopped.wait(_PROBE_INTERVAL_S):
             self.core.probe_gaps()
 
     def _advance_drain(self) -> None:
@@ -252,17 +253,17 @@
             self.core.drain.begun.wait()
             if self.core.drain.advance() is DrainPhase.DONE:
                 self._stopped.set()
-            self._stopped.wait(_DRAIN_LOOK_S)
+            self._stopped.wait(_DRAIN_POLL_INTERVAL_S)
 
-    def _keep_seat(self) -> None:
+    def _renew_probe_lease(self) -> None:
         while not self._stopped.is_set():
             held = self.core.renew_seat()
-            wait = self.config.platform.lease_s / _RENEWALS if held else _SEAT_WAIT_S
+            wait = self.config.platform.lease_s / _RENEWALS_PER_LEASE if held else _LEASE_RETRY_S
             self._stopped.wait(wait * (0.9 + 0.2 * self._rng.random()))
 
     def _probe_target(self, target: Address) -> LoadReport | None:
-        began = self._clock()
+        started_at = self._clock()
         report = probe(target)
-        self.metrics.timing(Metric.PROBE_TIME, self._clock() - began)
+        self.metrics.timing(Metric.PROBE_TIME, self._clock() - started_at)
         self.metrics.count(Metric.PROBES, end="lost" if report is None else "answered")
         return report
--- a/dunlinnotch/daemon/metrics.py
+++ b/dunlinnotch/daemon/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics, all from one table, sent by statsd."""
+"""Metrics sent to a statsd server."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class MetricInfo(NamedTuple):
-    """Name, type, unit and meaning of one metric."""
+    """Name, type, unit and description of one metric."""
 
     name: str
     type: str
@@ -31,49 +31,52 @@
 
     CALLS = MetricInfo("calls.{outcome}", "counter", "calls", "Calls ended, by outcome.")
     REFUSED = MetricInfo("refused.{reason}", "counter", "calls", "Calls not answered, by reason.")
-    CALL_TIME = MetricInfo("call.time", "timer", "ms", "From the head to the end of the answer.")
-    QUEUE_TIME = MetricInfo("call.queue", "timer", "ms", "Wait for a target.")
+    CALL_TIME = MetricInfo("call.time", "timer", "ms", "From request head to end of answer.")
+    QUEUE_TIME = MetricInfo("call.queue", "timer", "ms", "Time spent waiting for a target.")
     ADDED_TIME = MetricInfo(
-        "call.added", "timer", "ms", "Call time less the wait and the time with targets."
+        "call.added", "timer", "ms", "Call time without the wait and the time at targets."
     )
     CHOICES = MetricInfo("choice.{why}", "counter", "choices", "Targets chosen, by reason.")
     ATTEMPTS = MetricInfo("attempts.{end}", "counter", "attempts", "Attempts at targets, by end.")
     RETRIES = MetricInfo("retries", "counter", "attempts", "Attempts after the first one.")
     PROBES = MetricInfo("probes.{end}", "counter", "probes", "Probes sent, by end.")
-    PROBE_TIME = MetricInfo("probe.time", "timer", "ms", "Time that a probe took.")
+    PROBE_TIME = MetricInfo("probe.time", "timer", "ms", "Duration of a probe.")
     PROBES_ALLOWED = MetricInfo(
-        "probes.allowed", "gauge", "1/s", "Probes that the budget lets this box send."
+        "probes.allowed", "gauge", "1/s", "Probe rate allowed to this box by the budget."
     )
-    IN_FLIGHT = MetricInfo("in_flight", "gauge", "calls", "Calls accepted and not ended.")
-    VERSION = MetricInfo("settings.version", "gauge", "version", "Settings version in force.")
+    IN_FLIGHT = MetricInfo("in_flight", "gauge", "calls", "Calls accepted and not completed.")
+    VERSION = MetricInfo("settings.version", "gauge", "version", "Active settings version.")
     TABLE_AGE = MetricInfo("settings.age", "gauge", "s", "Time since the table was last read.")
-    PEERS = MetricInfo("peers", "gauge", "boxes", "Live boxes known, this one included.")
-    PEER_BYTES = MetricInfo("peer.sent", "counter", "bytes", "Sent on links that this box opened.")
+    PEERS = MetricInfo("peers", "gauge", "boxes", "Live boxes, this one included.")
+    PEER_BYTES = MetricInfo("peer.sent", "counter", "bytes", "Sent on links opened by this box.")
     DRAINING = MetricInfo("draining", "gauge", "0 or 1", "Whether this box is draining.")
 
 
-_ENDS = {Answered: "answered", Refused: "refused", Broken: "broken", NotSent: "not_sent"}
+_END_LABELS = {Answered: "answered", Refused: "refused", Broken: "broken", NotSent: "not_sent"}
 
 
 class Metrics:
-    """Send metrics, or do nothing if no server is set.
+    """Send metrics to a statsd server, or do nothing if none is set.
 
     Parameters
     ----------
     server : str or None
+        Address of the statsd server.
     prefix : str
+        Prefix of all metric names.
     clock : callable
+        Returns monotonic seconds.
     """
 
     def __init__(self, server: Address | None, *, prefix: str, clock: Clock) -> None:
         self._clock = clock
         self._client = None
         if server is not None:
-            at = split_address(server)
-            self._client = statsd.StatsClient(at.host, at.port, prefix=prefix)
+            address = split_address(server)
+            self._client = statsd.StatsClient(address.host, address.port, prefix=prefix)
 
     def count(self, metric: Metric, amount: int = 1, **parts: str) -> None:
-        """Add to a counter."""
+        """Add to a counter; ``parts`` fill the placeholders of its name."""
         if self._client is not None:
             self._client.incr(metric.value.name.format(**parts), amount)
 
@@ -83,21 +86,31 @@
             self._client.gauge(metric.value.name, value)
 
     def timing(self, metric: Metric, seconds: Seconds) -> None:
-        """Send a time."""
+        """Send a duration."""
         if self._client is not None:
             self._client.timing(metric.value.name, seconds * 1000)
 
     def attempt_ended(self, result: AttemptResult, *, why: str, retry: bool) -> None:
-        """Note the end of an attempt, and why its target was chosen."""
+        """Count the end of an attempt and the reason for the choice of its target."""
         self.count(Metric.CHOICES, why=why.replace("-", "_"))
-        self.count(Metric.ATTEMPTS, end=_ENDS[type(result)])
+        self.count(Metric.ATTEMPTS, end=_END_LABELS[type(result)])
         if retry:
             self.count(Metric.RETRIES)
 
     def call_ended(
         self, call: Call, result: CallResult, *, waited: Seconds, at_targets: Seconds
     ) -> None:
-        """Note the end of a call, its wait and its time with targets, in seconds."""
+        """Record the end of a call.
+
+        Parameters
+        ----------
+        call : Call
+        result : CallResult
+        waited : float
+            Seconds spent waiting for a target.
+        at_targets : float
+            Seconds spent at targets.
+        """
         if self._client is None:
             return
         self.count(Metric.CALLS, outcome=result.outcome.replace("-", "_"))
