--- a/dunlinnotch/platform/__init__.py
+++ b/dunlinnotch/platform/__init__.py
@@ -1,4 +1,4 @@
-"""Translate between the users' platform and this product; decide nothing.
+"""Adapter to the users' platform: translates its formats and makes no decisions.
 
-The platform's headers, paths, fields and words appear in this folder only.
+The headers, paths and field names of the platform are used in this package only.
 """
--- a/dunlinnotch/platform/__main__.py
+++ b/dunlinnotch/platform/__main__.py
@@ -4,7 +4,7 @@
 
 import sys
 
-# Nothing here speaks TLS, and its library is most of what asyncio would load.
+# TLS is not used; without the ssl module, asyncio loads much faster.
 sys.modules.setdefault("ssl", None)  # type: ignore[arg-type]
 
 import asyncio  # noqa: E402
@@ -22,11 +22,11 @@
 from dunlinnotch.platform.watch import SettingsWatch  # noqa: E402
 from dunlinnotch.transport.stream.server import StreamServer  # noqa: E402
 
-_BAD_SETTINGS = 2
+_EXIT_CONFIG = 2
 
 
 def main() -> int:
-    """Run until stopped; return the exit code."""
+    """Run the box until it stops; return the exit status."""
     stream = BoundedStream(sys.stdout.fileno())
     configure_stream(stream, level=os.environ.get("DUNLINNOTCH_LOG_LEVEL", "INFO"))
     try:
@@ -36,7 +36,7 @@
         endpoint_settings = settings_file.EndpointSettings(node_file)
     except ConfigError as error:
         sys.stderr.write(f"{error.code}: {error}\n")
-        return _BAD_SETTINGS
+        return _EXIT_CONFIG
     with asyncio.Runner(loop_factory=ElapsedTimeLoop) as runner:
         runner.run(_run(settings, endpoint_settings, stream, path))
     return 0
@@ -44,28 +44,28 @@
 
 async def _run(
     settings: EntrySettings,
-    doors: settings_file.EndpointSettings,
+    endpoint_settings: settings_file.EndpointSettings,
     stream: BoundedStream,
     path: Path,
 ) -> None:
-    adapter = make_adapter(doors.store)
+    adapter = make_adapter(endpoint_settings.store)
     box = EntryBox(settings, adapter, rng=random.Random(), dropped_lines=lambda: stream.dropped)
-    answers = Endpoints(box, longest_ttl=doors.longest_ttl)
+    endpoints = Endpoints(box, max_ttl=endpoint_settings.max_ttl)
     for address, handler in (
-        (doors.readiness, answers.readiness),
-        (doors.directory, answers.directory),
-        (doors.control, answers.control),
-        (doors.figures, answers.control),
+        (endpoint_settings.readiness, endpoints.readiness),
+        (endpoint_settings.directory, endpoints.directory),
+        (endpoint_settings.control, endpoints.control),
+        (endpoint_settings.metrics, endpoints.control),
     ):
         server = StreamServer(handler)
         await server.listen(address)
         box.add_server(server)
     watch = SettingsWatch(path, box.reload)
-    watching = asyncio.create_task(watch.run())
+    watch_task = asyncio.create_task(watch.run())
     try:
         await run_until_stopped(box)
     finally:
-        watching.cancel()
+        watch_task.cancel()
 
 
 if __name__ == "__main__":
--- a/dunlinnotch/platform/adapter.py
+++ b/dunlinnotch/platform/adapter.py
@@ -1,4 +1,4 @@
-"""All parts of the adapter joined, for a box on the users' platform."""
+"""Build the adapter of a box on the users' platform."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def make_adapter(store_address: str) -> Adapter:
-    """Return the adapter of a box that uses the store at an address."""
+    """Return an adapter that uses the store at an address."""
     store = PlatformStore(store_address)
     return Adapter(
         source=store,
--- a/dunlinnotch/platform/endpoints.py
+++ b/dunlinnotch/platform/endpoints.py
@@ -1,4 +1,4 @@
-"""What the platform and clients ask a box besides requests: directory, readiness, figures."""
+"""HTTP endpoints of a box for the platform and clients: directory, readiness and metrics."""
 
 from __future__ import annotations
 
@@ -13,38 +13,38 @@
     from dunlinnotch.daemon.entry import EntryBox
     from dunlinnotch.transport.stream.server import Exchange
 
-RESOLVE, READY, FIGURES = "/api/resolve", "/api/readiness", "/metrics"
-#: Addresses that one answer may hold.
-_ADDRESSES_MOST = 64
-#: How long a client may keep an answer, in seconds.
-_TTL_S = 5.0
+RESOLVE_PATH, READINESS_PATH, METRICS_PATH = "/api/resolve", "/api/readiness", "/metrics"
+#: Maximum number of addresses in one answer.
+_MAX_ADDRESSES = 64
+#: Maximum time for which a client may cache an answer, in seconds.
+_MAX_TTL_S = 5.0
 
 _JSON = (Header("Content-Type", "application/json"),)
 _TEXT = (Header("Content-Type", "text/plain; version=0.0.4"),)
 
 
 class Endpoints:
-    """Answer what is not a request for a worker.
+    """Serve requests that are not forwarded to a worker.
 
     Parameters
     ----------
     box : EntryBox
-    longest_ttl : float
-        Longest time that a client may be told to keep an answer, in seconds.
+    max_ttl : float
+        Maximum time for which the platform lets clients cache an answer, in seconds.
     """
 
-    def __init__(self, box: EntryBox, *, longest_ttl: float) -> None:
+    def __init__(self, box: EntryBox, *, max_ttl: float) -> None:
         self._box = box
-        self._ttl = as_text(min(_TTL_S, longest_ttl))
+        self._ttl = as_text(min(_MAX_TTL_S, max_ttl))
 
     async def directory(self, exchange: Exchange) -> None:
-        """Tell a client which boxes to use."""
+        """Return the addresses of the boxes that a client should use."""
         path, _, query = exchange.path.partition("?")
-        if path != RESOLVE:
+        if path != RESOLVE_PATH:
             exchange.reply(404, (), b"")
             return
         place = parse_qs(query).get("zone", [""])[0]
-        addresses = self._box.mesh.offered(place)[:_ADDRESSES_MOST]
+        addresses = self._box.mesh.offered(place)[:_MAX_ADDRESSES]
         if not addresses or self._box.pause_detector.catching_up:
             exchange.reply(503, (Header("Retry-After", "0.2"),), b"")
             return
@@ -52,15 +52,15 @@
         exchange.reply(200, _JSON, body)
 
     async def readiness(self, exchange: Exchange) -> None:
-        """Tell the platform whether the box takes new work."""
-        if exchange.path.partition("?")[0] != READY:
+        """Return whether the box accepts new requests, as status 200 or 503."""
+        if exchange.path.partition("?")[0] != READINESS_PATH:
             exchange.reply(404, (), b"")
             return
         exchange.reply(200 if self._box.ready else 503, (), b"")
 
     async def control(self, exchange: Exchange) -> None:
-        """Tell the box's own figures."""
-        if exchange.path.partition("?")[0] != FIGURES:
+        """Return the metrics of the box."""
+        if exchange.path.partition("?")[0] != METRICS_PATH:
             exchange.reply(404, (), b"")
             return
         exchange.reply(200, _TEXT, self._box.text_metrics.text().encode())
--- a/dunlinnotch/platform/settings_file.py
+++ b/dunlinnotch/platform/settings_file.py
@@ -1,4 +1,4 @@
-"""Read the settings file that the platform gives to each process."""
+"""Read the settings file that the platform provides to each process."""
 
 from __future__ import annotations
 
@@ -13,23 +13,23 @@
     from collections.abc import Callable
     from pathlib import Path
 
-#: Names the settings file in the environment.
+#: Environment variable that holds the path of the settings file.
 VARIABLE = "DUNLINNOTCH_NODE_FILE"
 
-#: Where each box tells its figures; ``deploy/system.toml`` names it too.
-FIGURES_PORT = 9464
+#: Port on which each box serves its metrics; ``deploy/system.toml`` has the same value.
+METRICS_PORT = 9464
 
 _ADDRESS = re.compile(r"^(\d{1,3}\.){3}\d{1,3}:\d{1,5}$")
-_PORTS = re.compile(r"^\d{1,5},\d{1,5}$")
+_PORT_RANGE = re.compile(r"^\d{1,5},\d{1,5}$")
 
 
 class NodeFile:
-    """The fields of a settings file, read by their full names.
+    """The fields of a settings file, accessed by their full names.
 
     Parameters
     ----------
     text : str
-        Lines ``a.b=value``; unknown fields are left alone.
+        Lines of the form ``a.b=value``; unknown fields are ignored.
     """
 
     def __init__(self, text: str) -> None:
@@ -37,14 +37,14 @@
         for number, line in enumerate(text.splitlines(), start=1):
             if not line.strip() or line.lstrip().startswith("#"):
                 continue
-            name, found, value = line.partition("=")
-            if not found:
+            name, separator, value = line.partition("=")
+            if not separator:
                 msg = f"line {number}, {line[:60]!r}: allowed are lines of the form a.b=value"
                 raise ConfigError(msg)
             self._fields[name.strip()] = value.strip()
 
     def text(self, name: str) -> str:
-        """Return a field that must be there."""
+        """Return the value of a required field."""
         value = self._fields.get(name, "")
         if not value:
             msg = f"{name} = {value!r}: a value is needed"
@@ -52,20 +52,20 @@
         return value
 
     def address(self, name: str) -> str:
-        """Return an address."""
+        """Return a required address, an IP number with a port."""
         return _checked_address(name, self.text(name))
 
     def addresses(self, name: str) -> tuple[str, ...]:
-        """Return a list of addresses; empty if the field is."""
+        """Return a list of addresses, which is empty if the field is."""
         parts = self._fields.get(name, "").split(",")
         return tuple(_checked_address(name, part.strip()) for part in parts if part.strip())
 
-    def number(self, name: str, default: float, *, least: float = 0.0) -> float:
-        """Return a number, or its default where the field is empty."""
-        return self._read(name, default, float, f"a number of {least:g} or more", least)
+    def number(self, name: str, default: float, *, minimum: float = 0.0) -> float:
+        """Return a number, or the default if the field is empty."""
+        return self._read(name, default, float, f"a number of {minimum:g} or more", minimum)
 
     def time(self, name: str, default: float) -> float:
-        """Return a time in seconds, or its default where the field is empty."""
+        """Return a time in seconds, or the default if the field is empty."""
 
         def read(value: str) -> float:
             return seconds(value, name)
@@ -75,7 +75,7 @@
     def ports(self, name: str) -> tuple[int, int]:
         """Return the first and the last port of a range."""
         value = self.text(name)
-        if _PORTS.match(value):
+        if _PORT_RANGE.match(value):
             first, _, last = value.partition(",")
             if 0 < int(first) <= int(last) < 65536:
                 return int(first), int(last)
@@ -88,7 +88,7 @@
         default: float,
         read: Callable[[str], float],
         allowed: str,
-        least: float,
+        minimum: float,
     ) -> float:
         value = self._fields.get(name, "")
         if not value:
@@ -96,15 +96,15 @@
         try:
             number = read(value)
         except (ValueError, SettingsError):
-            number = least - 1
-        if not least <= number < float("inf"):
+            number = minimum - 1
+        if not minimum <= number < float("inf"):
             msg = f"{name} = {value!r}: allowed is {allowed}"
             raise ConfigError(msg)
         return number
 
 
 class EndpointSettings:
-    """Addresses at which the platform and callers ask this box.
+    """Addresses of the endpoints of a box and of the store, and a limit of the directory.
 
     Parameters
     ----------
@@ -115,9 +115,9 @@
         self.readiness = file.address("network.bind.readiness")
         self.directory = file.address("network.bind.directory")
         self.control = file.address("network.bind.control")
-        self.figures = f"{file.text('self.ip')}:{FIGURES_PORT}"
+        self.metrics = f"{file.text('self.ip')}:{METRICS_PORT}"
         self.store = file.address("platform.platform.address")
-        self.longest_ttl = file.time("terms.bounds.ttl_max", 5.0)
+        self.max_ttl = file.time("terms.bounds.ttl_max", 5.0)
 
 
 def read_file(path: Path) -> NodeFile:
@@ -126,6 +126,7 @@
     Raises
     ------
     ConfigError
+        If the file can't be read, or a line has no equals sign.
     """
     try:
         return NodeFile(path.read_text(encoding="utf-8"))
@@ -135,7 +136,13 @@
 
 
 def entry_settings(file: NodeFile) -> EntrySettings:
-    """Return what the product needs of a settings file."""
+    """Return the settings of the box from a settings file.
+
+    Raises
+    ------
+    ConfigError
+        Names the field with its value and the allowed values.
+    """
     port = file.ports("network.internal-port-range")[0]
     seeds = file.addresses("network.seeds")
     return EntrySettings(
@@ -143,7 +150,7 @@
         place=file.text("self.zone"),
         caller=file.address("network.bind.front"),
         peer=f"{file.text('self.ip')}:{port}",
-        # Ports are alike on all machines, so a seed's peer port is this one's.
+        # All machines use the same ports, so the peer port of a seed is that of this box.
         seeds=tuple(f"{seed.rpartition(':')[0]}:{port}" for seed in seeds),
         grace=file.time("terms.bounds.grace", 6.0),
         probes_per_s=file.number("terms.bounds.probes-per-s", 60.0),
--- a/dunlinnotch/platform/watch.py
+++ b/dunlinnotch/platform/watch.py
@@ -1,4 +1,4 @@
-"""Read the settings file again when it changes, or on SIGHUP."""
+"""Reload the settings file when it changes or on SIGHUP."""
 
 from __future__ import annotations
 
@@ -17,21 +17,22 @@
 
     from dunlinnotch.daemon.entry import EntrySettings
 
-#: Time between two looks at the file, in seconds.
-_LOOK_S = 1.0
+#: Interval at which the file is checked for changes, in seconds.
+_POLL_INTERVAL_S = 1.0
 
 _log = logging.getLogger(__name__)
 
 
 class SettingsWatch:
-    """Watch a settings file.
+    """Watch a settings file and report changed settings.
 
     Parameters
     ----------
     path : Path
     on_change : callable
-        Called with the settings each time they differ from before.
-    look_s : float, default 1.0
+        Called with the new settings after each change of the file.
+    poll_interval_s : float, default 1.0
+        Seconds between two checks of the file.
     """
 
     def __init__(
@@ -39,31 +40,31 @@
         path: Path,
         on_change: Callable[[EntrySettings], None],
         *,
-        look_s: float = _LOOK_S,
+        poll_interval_s: float = _POLL_INTERVAL_S,
     ) -> None:
         self._path = path
         self._on_change = on_change
-        self._look_s = look_s
-        self._asked = asyncio.Event()
-        self._text = self._read()
+        self._poll_interval_s = poll_interval_s
+        self._reload_requested = asyncio.Event()
+        self._content = self._read()
 
     async def run(self) -> None:
-        """Look at the file now and then, and at once on SIGHUP."""
-        asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self._asked.set)
+        """Check the file at intervals, and at once on SIGHUP."""
+        asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, self._reload_requested.set)
         while True:
             try:
-                async with asyncio.timeout(self._look_s):
-                    await self._asked.wait()
+                async with asyncio.timeout(self._poll_interval_s):
+                    await self._reload_requested.wait()
             except TimeoutError:
                 pass
-            self._asked.clear()
-            self._look()
+            self._reload_requested.clear()
+            self._check()
 
-    def _look(self) -> None:
-        text = self._read()
-        if not text or text == self._text:
+    def _check(self) -> None:
+        content = self._read()
+        if not content or content == self._content:
             return
-        self._text = text
+        self._content = content
         try:
             settings = entry_settings(read_file(self._path))
         except ConfigError as error:
@@ -78,6 +79,7 @@
         self._on_change(settings)
 
     def _read(self) -> bytes:
+        """Return the content of the file, or nothing if it can't be read."""
         try:
             return self._path.read_bytes()
         except OSError:
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -82,7 +82,7 @@
         path = tmp_path / "local.conf"
         path.write_text(NODE)
         seen = []
-        watch = SettingsWatch(path, seen.append, look_s=3600.0)
+        watch = SettingsWatch(path, seen.append, poll_interval_s=3600.0)
         task = asyncio.create_task(watch.run())
         await asyncio.sleep(0)
         path.write_text(NODE.replace("grace=6s", "grace=never"))
