--- a/dunlinnotch/platform/documents.py
+++ b/dunlinnotch/platform/documents.py
@@ -1,4 +1,4 @@
-"""Read the operator's document and the rows in which workers record themselves."""
+"""Parse the settings document of the operator and the rows that describe workers."""
 
 from __future__ import annotations
 
@@ -23,62 +23,62 @@
 _ROUTE_TYPES = ("safe", "unsafe", "upload")
 _STATES = ("ready", "draining")
 _DEFAULT_CONNECTIONS = 256
-#: Whole numbers above this are no counts of anything here: JSON readers keep them exactly.
-_WHOLE_MOST = 2**53
-_PORT_MOST = 65_535
-#: Slots above this are a mistake: a target has a few to some hundred.
-_SLOTS_MOST = 100_000
-#: Seconds above this are a mistake, in bounds and in times of a target.
-_SECONDS_MOST = 86_400.0
+#: Largest integer that every JSON parser represents exactly; no count here is larger.
+_MAX_INTEGER = 2**53
+_MAX_PORT = 65_535
+#: Limit that rejects implausible numbers of slots: targets have up to some hundred.
+_MAX_SLOTS = 100_000
+#: Limit that rejects implausible durations.
+_MAX_SECONDS = 86_400.0
 
 
 def read_document(data: bytes) -> RouteTable:
-    """Return the route table in an operator's document.
+    """Parse the settings document of the operator.
 
     Raises
     ------
     SettingsError
-        Names the first field that does not fit.
+        Names the first invalid field.
     """
-    plain = _object(data, "the document")
+    fields = _parse_object(data, "the document")
     services = {}
-    for number, service in enumerate(_list(plain, "services", "")):
+    for number, service in enumerate(_read_list(fields, "services", "")):
         info = _read_service(service, f"services.{number}")
         services[info.name] = info
-    routes = _list(plain, "routes", "")
+    routes = _read_list(fields, "routes", "")
     kinds = tuple(_read_route(route, f"routes.{n}") for n, route in enumerate(routes))
     for kind in kinds:
         for share in kind.shares:
             if share.service not in services:
-                msg = f"route {kind.name}: service = {share.service!r}; known: {sorted(services)}"
+                msg = f"route {kind.name}: service = {share.service!r}; allowed: {sorted(services)}"
                 raise SettingsError(msg)
     return RouteTable(
-        version(plain.get("version"), "version"),
+        version(fields.get("version"), "version"),
         kinds,
         services,
-        _read_limits(plain.get("limits") or {}),
+        _read_limits(fields.get("limits") or {}),
     )
 
 
 def read_worker(key: str, data: bytes) -> ListedTarget:
-    """Return what a worker's row says.
+    """Parse the row of a worker.
 
     Parameters
     ----------
     key : str
-        The worker's id, the same for each of its starts where rows tell ``born``.
+        Id of the worker.  In rows with ``born``, a worker keeps its id when it starts again.
     data : bytes
-        Others may write rows too, so nothing is taken for granted.
+        JSON.  Rows may be written by anybody, so every field is checked.
 
     Raises
     ------
     SettingsError
-        Names the first field that does not fit.
+        Names the first invalid field.
     """
-    plain = _object(data, key)
-    info, status = plain.get("info"), plain.get("status")
+    fields = _parse_object(data, key)
+    info, status = fields.get("info"), fields.get("status")
     if not isinstance(info, dict) or not isinstance(status, dict):
-        msg = f"{key}: info and status are needed"
+        msg = f"{key}: info = {info!r:.60}, status = {status!r:.60}: both must be JSON objects"
         raise SettingsError(msg)
     state = status.get("state")
     if not isinstance(state, str) or state not in _STATES:
@@ -86,156 +86,160 @@
         raise SettingsError(msg)
     return ListedTarget(
         instance=key,
-        service=_text(info, "service", f"{key}: info."),
-        place=_text(info, "zone", f"{key}: info."),
-        address=_address(plain, "address", f"{key}: "),
-        slots=_whole(info, "capacity", f"{key}: info.", least=1, most=_SLOTS_MOST),
+        service=_read_text(info, "service", f"{key}: info."),
+        place=_read_text(info, "zone", f"{key}: info."),
+        address=_read_address(fields, "address", f"{key}: "),
+        slots=_read_integer(info, "capacity", f"{key}: info.", minimum=1, maximum=_MAX_SLOTS),
         leaving=state == "draining",
-        sequence=_whole(status, "sequence", f"{key}: status."),
-        cold_s=_time(status, "warmup-left", f"{key}: status.", usual=0.0),
-        born=_whole(plain, "born", f"{key}: ", least=1) if "born" in plain else 0,
+        sequence=_read_integer(status, "sequence", f"{key}: status."),
+        cold_s=_read_duration(status, "warmup-left", f"{key}: status.", default=0.0),
+        born=_read_integer(fields, "born", f"{key}: ", minimum=1) if "born" in fields else 0,
     )
 
 
-def _read_route(plain: Any, where: str) -> RequestKind:  # noqa: ANN401 - checked here
-    if not isinstance(plain, dict):
-        msg = f"{where} = {plain!r}: a table is needed"
+def _read_route(fields: Any, path: str) -> RequestKind:  # noqa: ANN401 - checked here
+    if not isinstance(fields, dict):
+        msg = f"{path} = {fields!r}: a JSON object is needed"
         raise SettingsError(msg)
-    at = f"{where}."
-    route_type = plain.get("route-type")
+    parent = f"{path}."
+    route_type = fields.get("route-type")
     if not isinstance(route_type, str) or route_type not in _ROUTE_TYPES:
-        msg = f"{at}route-type = {route_type!r}; allowed: {', '.join(_ROUTE_TYPES)}"
+        msg = f"{parent}route-type = {route_type!r}; allowed: {', '.join(_ROUTE_TYPES)}"
         raise SettingsError(msg)
-    prefix = _text(plain, "path-prefix", at)
+    prefix = _read_text(fields, "path-prefix", parent)
     if not prefix.startswith("/"):
-        msg = f"{at}path-prefix = {prefix!r}: it begins with a slash"
+        msg = f"{parent}path-prefix = {prefix!r}: it must begin with a slash"
         raise SettingsError(msg)
     return RequestKind(
-        name=_text(plain, "name", at),
-        host=_text(plain, "host", at).lower(),
+        name=_read_text(fields, "name", parent),
+        host=_read_text(fields, "host", parent).lower(),
         prefix=prefix,
         repeatable=route_type == "safe",
         upload=route_type == "upload",
-        timeout=_time(plain, "timeout", at),
-        target_latency=_time(plain, "target-latency", at),
-        attempts=max(1, _whole(plain, "max-attempts", at)),
-        rank=_whole(plain, "priority", at),
-        shares=_read_shares(plain, at),
+        timeout=_read_duration(fields, "timeout", parent),
+        target_latency=_read_duration(fields, "target-latency", parent),
+        attempts=max(1, _read_integer(fields, "max-attempts", parent)),
+        rank=_read_integer(fields, "priority", parent),
+        shares=_read_shares(fields, parent),
     )
 
 
-def _read_shares(plain: dict[str, Any], at: str) -> tuple[ServiceShare, ...]:
-    split = plain.get("traffic-split")
+def _read_shares(fields: dict[str, Any], parent: str) -> tuple[ServiceShare, ...]:
+    split = fields.get("traffic-split")
     if not split:
-        return (ServiceShare(_text(plain, "service", at), 1.0),)
+        return (ServiceShare(_read_text(fields, "service", parent), 1.0),)
     shares = []
-    for number, part in enumerate(_list(plain, "traffic-split", at)):
-        where = f"{at}traffic-split.{number}."
+    for number, part in enumerate(_read_list(fields, "traffic-split", parent)):
+        path = f"{parent}traffic-split.{number}."
         weight = part.get("weight") if isinstance(part, dict) else None
         if isinstance(weight, bool) or not isinstance(weight, int | float):
             weight = -1
-        if not 0 <= weight <= _WHOLE_MOST:
-            msg = f"{where}weight = {weight!r}: allowed is a number of 0 or more"
+        if not 0 <= weight <= _MAX_INTEGER:
+            msg = f"{path}weight = {weight!r}: allowed is a number of 0 or more"
             raise SettingsError(msg)
-        shares.append(ServiceShare(_text(part, "service", where), float(weight)))
+        shares.append(ServiceShare(_read_text(part, "service", path), float(weight)))
     if not sum(share.weight for share in shares):
-        msg = f"{at}traffic-split: some weight must be above 0"
+        msg = f"{parent}traffic-split: at least one weight must be above 0"
         raise SettingsError(msg)
     return tuple(shares)
 
 
-def _read_service(plain: Any, where: str) -> ServiceInfo:  # noqa: ANN401 - checked here
-    if not isinstance(plain, dict):
-        msg = f"{where} = {plain!r}: a table is needed"
+def _read_service(fields: Any, path: str) -> ServiceInfo:  # noqa: ANN401 - checked here
+    if not isinstance(fields, dict):
+        msg = f"{path} = {fields!r}: a JSON object is needed"
         raise SettingsError(msg)
     return ServiceInfo(
-        name=_text(plain, "name", f"{where}."),
-        probe_path=_text(plain, "health-path", f"{where}.") if plain.get("health-path") else "",
-        connections=_whole_or(plain, "max-connections", f"{where}.", _DEFAULT_CONNECTIONS),
+        name=_read_text(fields, "name", f"{path}."),
+        probe_path=_read_text(fields, "health-path", f"{path}.")
+        if fields.get("health-path")
+        else "",
+        connections=_read_integer_or(fields, "max-connections", f"{path}.", _DEFAULT_CONNECTIONS),
     )
 
 
-def _read_limits(plain: Any) -> CallerLimits:  # noqa: ANN401 - checked here
-    if not isinstance(plain, dict):
-        msg = f"limits = {plain!r:.60}: a table is needed"
+def _read_limits(fields: Any) -> CallerLimits:  # noqa: ANN401 - checked here
+    if not isinstance(fields, dict):
+        msg = f"limits = {fields!r:.60}: a JSON object is needed"
         raise SettingsError(msg)
-    usual = CallerLimits()
+    default = CallerLimits()
     return CallerLimits(
-        head_bytes=_whole_or(plain, "max-header-bytes", "limits.", usual.head_bytes),
-        body_bytes=_whole_or(plain, "max-body-bytes", "limits.", usual.body_bytes),
-        head_s=_time(plain, "header-timeout", "limits.", usual=usual.head_s),
-        idle_s=_time(plain, "idle-timeout", "limits.", usual=usual.idle_s),
+        head_bytes=_read_integer_or(fields, "max-header-bytes", "limits.", default.head_bytes),
+        body_bytes=_read_integer_or(fields, "max-body-bytes", "limits.", default.body_bytes),
+        head_s=_read_duration(fields, "header-timeout", "limits.", default=default.head_s),
+        idle_s=_read_duration(fields, "idle-timeout", "limits.", default=default.idle_s),
     )
 
 
-def _time(plain: dict[str, Any], name: str, at: str, *, usual: float | None = None) -> float:
-    """Return a time in seconds; the usual one, if there is one, where none is given."""
-    value = plain.get(name)
-    if value is None and usual is not None:
-        return usual
-    found = seconds(value, f"{at}{name}")
-    if found > _SECONDS_MOST:
-        msg = f"{at}{name} = {value!r:.60}: allowed are up to {_SECONDS_MOST:g} s"
+def _read_duration(
+    fields: dict[str, Any], name: str, parent: str, *, default: float | None = None
+) -> float:
+    """Return a duration in seconds; if the field is missing, the default if there is one."""
+    value = fields.get(name)
+    if value is None and default is not None:
+        return default
+    duration = seconds(value, f"{parent}{name}")
+    if duration > _MAX_SECONDS:
+        msg = f"{parent}{name} = {value!r:.60}: the maximum is {_MAX_SECONDS:g} s"
         raise SettingsError(msg)
-    return found
+    return duration
 
 
-def _whole_or(plain: dict[str, Any], name: str, at: str, usual: int) -> int:
-    return _whole(plain, name, at) if plain.get(name) else usual
+def _read_integer_or(fields: dict[str, Any], name: str, parent: str, default: int) -> int:
+    return _read_integer(fields, name, parent) if fields.get(name) else default
 
 
-def _address(plain: dict[str, Any], name: str, at: str) -> str:
-    value = _text(plain, name, at)
+def _read_address(fields: dict[str, Any], name: str, parent: str) -> str:
+    value = _read_text(fields, name, parent)
     host, _, port = value.rpartition(":")
     try:
         IPv4Address(host)
-        whole = port.isascii() and port.isdigit() and 0 < int(port) <= _PORT_MOST
+        valid = port.isascii() and port.isdigit() and 0 < int(port) <= _MAX_PORT
     except ValueError:
-        whole = False
-    if not whole:
-        msg = f"{at}{name} = {value!r:.60}: an IP number and a port are needed, as in 10.0.0.1:80"
+        valid = False
+    if not valid:
+        msg = f"{parent}{name} = {value!r:.60}: needed is an IPv4 address with port, as 10.0.0.1:80"
         raise SettingsError(msg)
     return value
 
 
-def _object(data: bytes, where: str) -> dict[str, Any]:
+def _parse_object(data: bytes, path: str) -> dict[str, Any]:
     try:
-        plain = json.loads(data, parse_constant=_no_number)
+        fields = json.loads(data, parse_constant=_reject_constant)
     except (ValueError, RecursionError) as error:
-        msg = f"{where}: no JSON: {error}"
+        msg = f"{path}: invalid JSON: {error}"
         raise SettingsError(msg) from None
-    if not isinstance(plain, dict):
-        msg = f"{where}: a table is needed; received {type(plain).__name__}"
+    if not isinstance(fields, dict):
+        msg = f"{path}: a JSON object is needed; received {type(fields).__name__}"
         raise SettingsError(msg)
-    return plain
+    return fields
 
 
-def _no_number(name: str) -> float:
-    msg = f"{name} is no number"
+def _reject_constant(name: str) -> float:
+    msg = f"{name} is not allowed in JSON"
     raise ValueError(msg)
 
 
-def _list(plain: dict[str, Any], name: str, at: str) -> list[Any]:
-    value = plain.get(name)
+def _read_list(fields: dict[str, Any], name: str, parent: str) -> list[Any]:
+    value = fields.get(name)
     if not isinstance(value, list):
-        msg = f"{at}{name} = {value!r:.60}: a list is needed"
+        msg = f"{parent}{name} = {value!r:.60}: a list is needed"
         raise SettingsError(msg)
     return value
 
 
-def _text(plain: dict[str, Any], name: str, at: str) -> str:
-    value = plain.get(name)
+def _read_text(fields: dict[str, Any], name: str, parent: str) -> str:
+    value = fields.get(name)
     if not isinstance(value, str) or not value:
-        msg = f"{at}{name} = {value!r:.60}: a text is needed"
+        msg = f"{parent}{name} = {value!r:.60}: a non-empty string is needed"
         raise SettingsError(msg)
     return value
 
 
-def _whole(
-    plain: dict[str, Any], name: str, at: str, *, least: int = 0, most: int = _WHOLE_MOST
+def _read_integer(
+    fields: dict[str, Any], name: str, parent: str, *, minimum: int = 0, maximum: int = _MAX_INTEGER
 ) -> int:
-    value = plain.get(name)
-    if isinstance(value, bool) or not isinstance(value, int) or not least <= value <= most:
-        msg = f"{at}{name} = {value!r:.60}: a whole number from {least} to {most} is needed"
+    value = fields.get(name)
+    if isinstance(value, bool) or not isinstance(value, int) or not minimum <= value <= maximum:
+        msg = f"{parent}{name} = {value!r:.60}: an integer from {minimum} to {maximum} is needed"
         raise SettingsError(msg)
     return value
--- a/dunlinnotch/platform/store.py
+++ b/dunlinnotch/platform/store.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store: read tables, follow their changes, change rows."""
+"""Client of the metadata store of the platform: read tables, follow changes, write rows."""
 
 from __future__ import annotations
 
@@ -16,13 +16,14 @@
 from dunlinnotch.transport.stream.common import find
 from dunlinnotch.transport.stream.fetch import Fetched, Fetcher
 
-_OK, _GONE, _NOT_AS_EXPECTED = 200, 410, 412
-_PAGE = 500
-#: Time for an answer, beyond what a call is asked to wait, in seconds.
-_ANSWER_S = 1.0
-#: How often the store has come back from a copy; in all its answers.
-_ERA = "store-era"
-_ERA_DIGITS_MAX = 15
+_OK, _HISTORY_GONE, _PRECONDITION_FAILED = 200, 410, 412
+_ROWS_PER_PAGE = 500
+#: Timeout of a call, beyond the time for which the store is asked to wait, in seconds.
+_ANSWER_TIMEOUT_S = 1.0
+#: Header of all answers that holds the epoch of the store: it rises whenever the store is
+#: restored from a backup, after which versions are issued again.
+_EPOCH_HEADER = "store-era"
+_MAX_EPOCH_DIGITS = 15
 
 _log = logging.getLogger(__name__)
 
@@ -33,20 +34,26 @@
     Parameters
     ----------
     address : str
+        IP number and port of the store.
+
+    Notes
+    -----
+    Each method raises :class:`~dunlinnotch.errors.PlatformUnavailableError` if no usable
+    answer comes in time.
     """
 
     def __init__(self, address: str) -> None:
         self._fetcher = Fetcher(address)
-        self._era: int | None = None
+        self._epoch: int | None = None
 
     @property
     def calls(self) -> int:
-        """Calls made so far."""
+        """Number of calls made so far."""
         return self._fetcher.calls
 
     @property
     def failures(self) -> int:
-        """Calls that got no answer."""
+        """Number of calls that got no answer."""
         return self._fetcher.failures
 
     async def read_table(self, table: str) -> TableDelta:
@@ -54,14 +61,14 @@
 
         Notes
         -----
-        The version is that of the first page: what changed between two pages
-        comes again by the changes after it.
+        The version is that of the first page, so rows that change while later pages are read
+        are received again with the changes after that version.
         """
-        rows, first, era = await self._read_pages(table)
-        return TableDelta(table, _whole(first, "ver"), True, rows, era=era)
+        rows, first, epoch = await self._read_pages(table)
+        return TableDelta(table, _read_integer(first, "ver"), True, rows, era=epoch)
 
     async def read_rows(self, table: str) -> RowsRead:
-        """Return all rows of a table, and the store's own time of the first page."""
+        """Return all rows of a table, and the time of the store at the first page."""
         rows, first, _ = await self._read_pages(table)
         try:
             return RowsRead(rows, units.seconds(first.get("now"), "now"))
@@ -70,111 +77,114 @@
             raise PlatformUnavailableError(msg) from None
 
     async def change_rows(self, change: RowsChange) -> bool:
-        """Change rows of one table; return whether they were as expected."""
-        plain = {
+        """Change rows of one table; return False if their versions were not as expected."""
+        content = {
             "expected-revision": [
-                {**_name(change.table, key), "ver": ver} for key, ver in change.expected.items()
+                {**_row_id(change.table, key), "ver": ver} for key, ver in change.expected.items()
             ],
             "put": [
-                {**_name(change.table, key), "value": base64.b64encode(value).decode()}
+                {**_row_id(change.table, key), "value": base64.b64encode(value).decode()}
                 for key, value in change.put.items()
             ],
-            "remove": [_name(change.table, key) for key in change.remove],
+            "remove": [_row_id(change.table, key) for key in change.remove],
         }
-        body = json.dumps(plain).encode()
-        answer = await self._fetcher.fetch("POST", "/api/rows-tx", body=body, timeout=_ANSWER_S)
-        self._note_era(answer)
-        if answer.status == _NOT_AS_EXPECTED:
+        body = json.dumps(content).encode()
+        answer = await self._fetcher.fetch(
+            "POST", "/api/rows-tx", body=body, timeout=_ANSWER_TIMEOUT_S
+        )
+        self._record_epoch(answer)
+        if answer.status == _PRECONDITION_FAILED:
             return False
-        _read(answer, "/api/rows-tx")
+        _parse_answer(answer, "/api/rows-tx")
         return True
 
     async def _read_pages(
         self, table: str
     ) -> tuple[tuple[TableRow, ...], dict[str, Any], int | None]:
-        """Return all rows of a table, the first page as it came, and the era of all pages."""
+        """Return all rows of a table, the JSON of the first page, and the epoch of all pages."""
         rows: list[TableRow] = []
         first: dict[str, Any] | None = None
-        era = self._era
+        epoch = self._epoch
         start = ""
         while True:
-            query = {"table": table, "part": "", "limit": str(_PAGE)}
+            query = {"table": table, "part": "", "limit": str(_ROWS_PER_PAGE)}
             if start:
                 query["from"] = start
-            plain = await self._get("/api/rows-get", query, _ANSWER_S)
-            page = [_read_row(row) for row in plain.get("rows", ())]
+            content = await self._get("/api/rows-get", query, _ANSWER_TIMEOUT_S)
+            page = [_parse_row(row) for row in content.get("rows", ())]
             rows += [row for row in page if row.key != start or not start]
             if first is None:
-                first, era = plain, self._era
-            if self._era != era:
-                msg = f"/api/rows-get: the store came back from a copy while {table!r} was read"
+                first, epoch = content, self._epoch
+            if self._epoch != epoch:
+                msg = f"/api/rows-get: the epoch of the store changed while {table!r} was read"
                 raise PlatformUnavailableError(msg)
-            if not plain.get("more") or not page:
-                return tuple(rows), first, era
+            if not content.get("more") or not page:
+                return tuple(rows), first, epoch
             start = page[-1].key
 
     async def changes(self, table: str, after: int, wait: float) -> TableDelta | HistoryGone:
-        """Return what changed after a version, waiting for a change that long."""
+        """Return the changes after a version, waiting up to ``wait`` seconds for one."""
         query = {"table": table, "after": str(after), "wait-ms": str(int(wait * 1000))}
-        answer = await self._fetch("/api/rows-feed", query, wait + _ANSWER_S)
-        era = self._note_era(answer)
-        if answer.status == _GONE:
+        answer = await self._fetch("/api/rows-feed", query, wait + _ANSWER_TIMEOUT_S)
+        epoch = self._record_epoch(answer)
+        if answer.status == _HISTORY_GONE:
             return HistoryGone()
-        plain = _read(answer, "/api/rows-feed")
-        rows = tuple(_read_row(row) for row in plain.get("rows", ()))
-        return TableDelta(table, _whole(plain, "ver"), False, rows, era=era)
+        content = _parse_answer(answer, "/api/rows-feed")
+        rows = tuple(_parse_row(row) for row in content.get("rows", ()))
+        return TableDelta(table, _read_integer(content, "ver"), False, rows, era=epoch)
 
     async def _get(self, path: str, query: dict[str, str], timeout: float) -> dict[str, Any]:
         answer = await self._fetch(path, query, timeout)
-        self._note_era(answer)
-        return _read(answer, path)
+        self._record_epoch(answer)
+        return _parse_answer(answer, path)
 
     async def _fetch(self, path: str, query: dict[str, str], timeout: float) -> Fetched:
         return await self._fetcher.fetch("GET", f"{path}?{urlencode(query)}", timeout=timeout)
 
-    def _note_era(self, answer: Fetched) -> int | None:
-        """Return the era that an answer tells; the last one told, if any, where it tells none."""
-        stated = find(answer.headers, _ERA)
-        if stated is not None:
-            if stated.isascii() and stated.isdigit() and len(stated) <= _ERA_DIGITS_MAX:
-                self._era = int(stated)
+    def _record_epoch(self, answer: Fetched) -> int | None:
+        """Return the epoch in an answer, or the last known one if it has no valid epoch."""
+        value = find(answer.headers, _EPOCH_HEADER)
+        if value is not None:
+            if value.isascii() and value.isdigit() and len(value) <= _MAX_EPOCH_DIGITS:
+                self._epoch = int(value)
             else:
-                event(_log, "era-unreadable", level=logging.WARNING, received=stated[:40])
-        return self._era
+                event(_log, "era-unreadable", level=logging.WARNING, received=value[:40])
+        return self._epoch
 
 
-def _name(table: str, key: str) -> dict[str, str]:
-    """Return how a row is named; the platform calls a row's key ``tls-key``."""
+def _row_id(table: str, key: str) -> dict[str, str]:
+    """Return the JSON that identifies a row; the platform calls its key ``tls-key``."""
     return {"table": table, "part": "", "tls-key": key}
 
 
-def _read(answer: Fetched, path: str) -> dict[str, Any]:
+def _parse_answer(answer: Fetched, path: str) -> dict[str, Any]:
+    """Return the JSON object in an answer with status 200; raise an error for any other."""
     if answer.status != _OK:
         msg = f"{path}: status {answer.status}"
         raise PlatformUnavailableError(msg)
     try:
-        plain = json.loads(answer.body)
+        content = json.loads(answer.body)
     except ValueError as error:
-        msg = f"{path}: no JSON: {error}"
+        msg = f"{path}: invalid JSON: {error}"
         raise PlatformUnavailableError(msg) from None
-    if not isinstance(plain, dict):
-        msg = f"{path}: no table"
+    if not isinstance(content, dict):
+        msg = f"{path}: a JSON object is needed; received {type(content).__name__}"
         raise PlatformUnavailableError(msg)
-    return plain
+    return content
 
 
-def _read_row(plain: Any) -> TableRow:  # noqa: ANN401 - checked here
+def _parse_row(content: Any) -> TableRow:  # noqa: ANN401 - checked here
     try:
-        value = None if plain.get("gone") else base64.b64decode(plain["value"])
-        return TableRow(str(plain["tls-key"]), int(plain["ver"]), value)
+        value = None if content.get("gone") else base64.b64decode(content["value"])
+        return TableRow(str(content["tls-key"]), int(content["ver"]), value)
     except (AttributeError, KeyError, TypeError, ValueError) as error:
-        msg = f"a row can't be read: {error!r}; received {plain!r:.80}"
+        msg = f"invalid row: {error!r}; received {content!r:.80}"
         raise PlatformUnavailableError(msg) from None
 
 
-def _whole(plain: dict[str, Any], name: str) -> int:
-    value = plain.get(name)
+def _read_integer(content: dict[str, Any], name: str) -> int:
+    value = content.get(name)
     if not isinstance(value, int):
-        msg = f"{name} = {value!r}: a whole number is needed"
+        msg = f"{name} = {value!r}: an integer is needed"
         raise PlatformUnavailableError(msg)
     return value
