--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -318,7 +318,7 @@
 ENTRY, SHARES = "tests/test_entry.py", "tests/test_shares.py"
 CRASHING, CRASH_NEWS = "tests/test_crashing.py", "tests/test_crash_news.py"
 LINKS, ASKING = "tests/test_links.py", "tests/test_asking.py"
-REST, LEAVING = "tests/test_rest.py", "tests/test_leaving_words.py"
+REST, LEAVING = "tests/test_rest.py", "tests/test_leaving_targets.py"
 
 MUTANTS = (
     Mutant("repeat what may run once", Forwarder, "_may_repeat", _repeat_anything, ENTRY),
