--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -1,4 +1,4 @@
-"""Whole entry boxes against stand-ins of the users' platform."""
+"""Complete entry boxes tested against stand-ins of the users' platform."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
     asyncio.run(test())
 
 
-def logged(caplog, name):
-    """Return the fields of all events of a name."""
+def logged_events(caplog, name):
+    """Return the fields of all log events with a name."""
     return [record.fields for record in caplog.records if record.message == name]
 
 
-def test_a_request_is_served_with_the_target_s_own_answer():
+def test_request_gets_the_answer_of_the_target():
     async def test():
         async with stream_world() as world:
             answer = await call(world.boxes[0], "/read/a?b=c", "one")
@@ -47,11 +47,11 @@
     run(test)
 
 
-def test_bodies_reach_the_target_unaltered_by_length_and_in_chunks():
+def test_bodies_with_a_length_or_in_chunks_reach_the_target_unaltered():
     async def test():
         async with stream_world() as world:
             box = world.boxes[0]
-            body = bytes(range(256)) * 3000  # more than is held
+            body = bytes(range(256)) * 3000  # larger than the buffer for retries
             answer = await call(box, "/load/x", "up", method="POST", body=body)
             assert answer.status == 200
             reader, writer = await connect(box)
@@ -64,7 +64,7 @@
     run(test)
 
 
-def test_unknown_path_is_404_and_a_bad_request_400():
+def test_unknown_path_gets_404_and_an_invalid_request_400():
     async def test():
         async with stream_world() as world:
             assert (await call(world.boxes[0], "/other/", "x")).status == 404
@@ -89,13 +89,13 @@
         WorkerFault.UNFRAMED_RESET,
     ],
 )
-def test_a_spoilt_answer_is_repeated_only_where_that_is_harmless(fault):
+def test_request_with_an_invalid_answer_is_retried_only_if_idempotent(fault):
     async def test():
         async with stream_world(workers=0) as world:
             for _ in range(3):
                 await world.add_worker()
             await until(lambda: len(world.boxes[0].instances.of("loans")) == 3)
-            # Whichever targets are tried: the first spoils it, the second too.
+            # The first two attempts get an invalid answer, whichever targets they use.
             faults = [fault, fault]
             for worker in world.workers:
                 worker.settings.faults = faults
@@ -106,7 +106,7 @@
             faults.append(fault)
             once = await call(world.boxes[0], "/lend/", "once", method="POST", body=b"x")
             assert world.ran.count("once") == 1
-            # No promise that it has not run, nothing of another status's seal.
+            # No status that guarantees that the request did not run, and no seal with a 502.
             assert once.status in (500, 502)
             if once.status == 502:
                 assert "response-seal" not in once.headers
@@ -114,13 +114,13 @@
     run(test)
 
 
-def test_what_ran_at_its_first_target_is_not_called_not_run_when_the_next_refuses():
+def test_request_that_ran_is_not_reported_as_not_run_when_the_retry_fails():
     async def test():
         async with stream_world(workers=0) as world:
             worker = await world.add_worker()
             box = world.boxes[0]
             await until(lambda: box.instances.of("loans"))
-            # It ends under the request, so the repeat does not even reach it.
+            # The worker crashes during the request, so the retry can't connect.
             worker.settings.ends_under = lambda path: True
             assert (await call(box, "/read/", "ran")).status == 502
             assert world.ran == ["ran"]
@@ -128,14 +128,14 @@
     run(test)
 
 
-def test_a_target_that_ended_is_told_apart_from_one_that_broke_off_an_answer(caplog):
+def test_crashed_target_is_distinguished_from_a_truncated_answer(caplog):
     async def test():
         async with stream_world(workers=0) as world:
             first = await world.add_worker(WorkerSettings(faults=[WorkerFault.LOST]))
             box = world.boxes[0]
             await until(lambda: box.instances.of("loans"))
             assert (await call(box, "/lend/", "lost", method="POST", body=b"x")).status == 502
-            assert not logged(caplog, "target-ended")
+            assert not logged_events(caplog, "target-ended")
             first.settings.ends_under = lambda path: path.endswith("worst")
             answer = await call(box, "/lend/worst", "last", method="POST", body=b"x")
             assert answer.status == 502
@@ -143,15 +143,15 @@
 
     with caplog.at_level("INFO"):
         run(test)
-    (ended,) = logged(caplog, "target-ended")
-    (route,) = [r for r in logged(caplog, "route") if r["request"] == "last"]
-    assert ended["request"] == "last"
-    assert (ended["content"], ended["origin"]) == (route["content"], route["origin"])
+    (crashed,) = logged_events(caplog, "target-ended")
+    (route,) = [r for r in logged_events(caplog, "route") if r["request"] == "last"]
+    assert crashed["request"] == "last"
+    assert (crashed["content"], crashed["origin"]) == (route["content"], route["origin"])
     assert route["caller"] == "127.0.0.1"
 
 
 @pytest.mark.parametrize("fault", [WorkerFault.SURPLUS, WorkerFault.LATE_SURPLUS])
-def test_surplus_answers_belong_to_nobody(fault):
+def test_surplus_answers_are_discarded(fault):
     async def test():
         async with stream_world() as world:
             box, worker = world.boxes[0], world.workers[0]
@@ -166,7 +166,7 @@
     run(test)
 
 
-def test_an_answer_without_length_is_whole_once_its_connection_ends():
+def test_answer_without_length_ends_with_its_connection():
     async def test():
         async with stream_world() as world:
             world.workers[0].settings.faults = [WorkerFault.UNFRAMED]
@@ -177,25 +177,25 @@
     run(test)
 
 
-def test_a_refusal_of_the_target_goes_to_another_one_even_for_what_may_run_once():
+def test_request_refused_by_a_target_is_retried_even_if_not_idempotent():
     async def test():
         async with stream_world() as world:
             await world.add_worker(WorkerSettings(slots=1, queue=0))
             box = world.boxes[0]
             await until(lambda: len(box.instances.of("loans")) == 2)
-            full = world.workers[1]
-            full.hold = asyncio.Event()
-            full.settings.queue = -1  # refuses whatever it says of its load
+            saturated = world.workers[1]
+            saturated.hold = asyncio.Event()
+            saturated.settings.queue = -1  # refuses all requests, whatever load it reports
             for number in range(8):
                 answer = await call(box, "/lend/", f"l{number}", method="POST", body=b"x")
                 assert answer.status == 200
-            assert full.ran == []
+            assert saturated.ran == []
             assert len(set(world.ran)) == len(world.ran) == 8
 
     run(test)
 
 
-def test_a_target_whose_address_another_has_taken_over_gets_nothing():
+def test_request_does_not_run_at_a_target_that_took_over_an_address():
     async def test():
         async with stream_world() as world:
             box = world.boxes[0]
@@ -209,7 +209,7 @@
     run(test)
 
 
-def test_a_caller_that_leaves_ends_the_target_s_work():
+def test_request_of_a_disconnected_caller_is_cancelled_at_the_target():
     async def test():
         async with stream_world() as world:
             worker = world.workers[0]
@@ -224,7 +224,7 @@
     run(test)
 
 
-def test_a_request_past_its_time_is_answered_504_and_dropped_at_the_target():
+def test_request_past_its_deadline_gets_504_and_is_cancelled_at_the_target():
     async def test():
         async with stream_world() as world:
             worker = world.workers[0]
@@ -236,7 +236,7 @@
     run(test)
 
 
-def test_full_targets_lead_to_a_quick_refusal_that_tells_when_to_come_back():
+def test_request_is_refused_with_retry_after_when_all_targets_are_saturated():
     async def test():
         async with stream_world(workers=0) as world:
             worker = await world.add_worker(WorkerSettings(slots=1, queue=1, hangs_when_full=True))
@@ -245,7 +245,7 @@
             worker.hold = asyncio.Event()
             held = [asyncio.create_task(call(box, "/read/", "held"))]
             await until(lambda: len(worker.arrivals) == 1)
-            # Its queue has room, but nothing is sent to wait at a target.
+            # The queue of the target has room, but boxes do not let requests wait at targets.
             answer = await call(box, "/read/", "more")
             assert answer.status == 503
             assert float(answer.headers["retry-after"]) > 0
@@ -257,7 +257,7 @@
 
 
 @pytest.mark.parametrize("fault", [WorkerFault.ERROR, WorkerFault.CUT])
-def test_targets_that_fail_fast_do_not_make_work_seem_short(fault):
+def test_fast_failures_do_not_reduce_the_usual_work_time(fault):
     async def test():
         async with stream_world(workers=0) as world:
             worker = await world.add_worker(WorkerSettings(work_s=0.05))
@@ -275,7 +275,7 @@
     run(test)
 
 
-def test_nothing_is_sent_that_cannot_end_in_time():
+def test_request_that_cannot_finish_in_time_is_not_sent():
     async def test():
         async with stream_world(workers=0) as world:
             worker = await world.add_worker(WorkerSettings(work_s=0.05))
@@ -286,19 +286,19 @@
                     await call(box, "/lend/", f"r{number}", method="POST", body=b"x")
                 ).status == 200
             worker.settings.slowness = 4000
-            await asyncio.sleep(5 * FRESH_S)  # what the last answer told is outdated by then
+            await asyncio.sleep(5 * FRESH_S)  # the last report is outdated then
             late = await call(box, "/lend/", "hopeless", method="POST", body=b"x", deadline_ms=900)
             assert late.status == 503
             assert "retry-after" in late.headers
             assert "hopeless" not in world.ran
-            # With enough time, the same target is better than none.
+            # With enough time left, the slow target is used.
             slow = await call(box, "/lend/", "patient", method="POST", body=b"x")
             assert slow.status == 200
 
     run(test)
 
 
-def test_new_settings_and_leaving_targets_are_in_force_without_a_restart():
+def test_new_settings_and_leaving_targets_are_applied_without_a_restart():
     async def test():
         async with stream_world() as world:
             box = world.boxes[0]
@@ -313,7 +313,7 @@
             )
             await until(lambda: not box.instances.of("other"))
             assert (await call(box, "/read/", "none")).status == 503
-            # An older word than the one that said so does not bring it back.
+            # A row with an older sequence number does not make the target available again.
             world.store.put("servers", other.instance, other.row("other", zone="hall-a"))
             world.store.put("servers", "i-new", other.row("loans", zone="hall-a", sequence=9))
             await until(lambda: box.instances.find("i-new"))
@@ -322,14 +322,14 @@
     run(test)
 
 
-def test_a_document_that_does_not_parse_leaves_the_last_good_one_in_force(caplog):
+def test_invalid_document_leaves_the_last_valid_one_active(caplog):
     async def test():
         async with stream_world() as world:
             box = world.boxes[0]
             world.store.put("op", "config", b'{"version":"r5","routes":"cut')
-            bad = document(6)
-            bad["routes"][0]["timeout"] = "soon"
-            world.store.put("op", "config", bad)
+            invalid = document(6)
+            invalid["routes"][0]["timeout"] = "soon"
+            world.store.put("op", "config", invalid)
             world.store.put("op", "config", document(7))
             await until(lambda: box.routes.table.version == 7)
             assert (await call(box, "/read/", "x")).status == 200
@@ -340,28 +340,35 @@
     assert any("routes.0.timeout = 'soon'" in detail for detail in details)
 
 
-def test_entries_of_other_writers_stop_nobody():
+def test_invalid_rows_do_not_stop_the_boxes():
     async def test():
         async with stream_world(boxes=2, workers=2) as world:
-            spoilt, sound = world.workers
-            row = spoilt.row("loans", zone="hall-a")
-            spoils = [b"\xff", b"[" * 200_000, {**row, "address": "nowhere"}, {**row, "born": "x"}]
-            for number, bad in enumerate(spoils):
-                world.store.put("servers", spoilt.instance, bad)
-                world.store.put("servers", f"foreign-{number}", bad)
-                world.store.put("servers", sound.instance, sound.row("loans", zone="hall-a"))
+            invalid_worker, valid_worker = world.workers
+            row = invalid_worker.row("loans", zone="hall-a")
+            invalid_rows = [
+                b"\xff",
+                b"[" * 200_000,
+                {**row, "address": "nowhere"},
+                {**row, "born": "x"},
+            ]
+            for number, invalid in enumerate(invalid_rows):
+                world.store.put("servers", invalid_worker.instance, invalid)
+                world.store.put("servers", f"foreign-{number}", invalid)
+                world.store.put(
+                    "servers", valid_worker.instance, valid_worker.row("loans", zone="hall-a")
+                )
             for box in world.boxes:
                 await until(
-                    lambda box=box: [i.name for i in box.instances.all()] == [sound.instance]
+                    lambda box=box: [i.name for i in box.instances.all()] == [valid_worker.instance]
                 )
                 assert (await call(box, "/read/x", "x")).status == 200
-            world.store.put("servers", spoilt.instance, row)
-            await until(lambda: all(b.instances.find(spoilt.instance) for b in world.boxes))
+            world.store.put("servers", invalid_worker.instance, row)
+            await until(lambda: all(b.instances.find(invalid_worker.instance) for b in world.boxes))
 
     run(test)
 
 
-def test_requests_go_on_at_a_target_whose_entry_turns_bad():
+def test_requests_in_flight_finish_when_the_row_of_their_target_becomes_invalid():
     async def test():
         async with stream_world() as world:
             box, worker = world.boxes[0], world.workers[0]
@@ -376,7 +383,7 @@
     run(test)
 
 
-def test_a_target_that_starts_again_under_its_name_is_used_again():
+def test_restarted_target_with_the_same_name_is_used_again():
     async def test():
         async with stream_world(workers=0) as world:
             worker = await world.add_worker()
@@ -387,15 +394,15 @@
             leaving = worker.row("loans", zone="hall-a", sequence=10, state="draining")
             world.store.put("servers", worker.instance, {**leaving, "born": 1000})
             await until(lambda: not box.instances.of("loans"))
-            again = worker.row("loans", zone="hall-a", sequence=0)
-            world.store.put("servers", worker.instance, {**again, "born": 2000})
+            restarted = worker.row("loans", zone="hall-a", sequence=0)
+            world.store.put("servers", worker.instance, {**restarted, "born": 2000})
             await until(lambda: [i.listed.born for i in box.instances.of("loans")] == [2000])
             assert (await call(box, "/read/x", "x")).status == 200
 
     run(test)
 
 
-def test_few_boxes_read_the_store_and_the_others_learn_from_them():
+def test_one_box_reads_the_store_and_the_others_follow_it():
     async def test():
         async with stream_world(boxes=3) as world:
             world.store.put("op", "config", document(2))
@@ -406,11 +413,11 @@
     run(test)
 
 
-def test_a_box_that_the_store_turns_away_learns_from_its_peers():
+def test_box_without_the_store_gets_updates_from_its_peers():
     async def test():
         async with stream_world(boxes=2) as world:
             reader = next(box for box in world.boxes if box.mesh.is_reader())
-            # Both boxes have one IP number here, so the first reader's calls are made to fail.
+            # Both boxes have the same IP address here, so the store fails for all of them.
             failing = world.store.faults
             failing.fault = StoreFault.BUSY
             await until(lambda: not reader.mesh.reading)
@@ -422,7 +429,7 @@
     run(test)
 
 
-def test_forgotten_history_is_read_anew():
+def test_table_is_read_completely_when_the_store_has_dropped_its_history():
     async def test():
         async with stream_world() as world:
             box = world.boxes[0]
@@ -435,7 +442,7 @@
     run(test)
 
 
-def test_a_planned_stop_cuts_nothing_and_refuses_late_comers():
+def test_planned_stop_finishes_requests_in_flight_and_refuses_later_ones():
     async def test():
         async with stream_world(boxes=2) as world:
             leaving, other = world.boxes
@@ -443,13 +450,13 @@
             worker.hold = asyncio.Event()
             held = asyncio.create_task(call(leaving, "/lend/", "held", method="POST", body=b"x"))
             await until(lambda: world.ran == ["held"])
-            kept_reader, kept_writer = await connect(leaving)
+            idle_reader, idle_writer = await connect(leaving)
             leaving.request_stop()
             await until(lambda: leaving.caller not in other.mesh.offered("hall-a"))
             assert not leaving.ready
             await until(lambda: leaving.refusing)
-            kept_writer.write(head("/read/", "late"))
-            late = await read_answer(kept_reader)
+            idle_writer.write(head("/read/", "late"))
+            late = await read_answer(idle_reader)
             assert (late.status, late.headers["connection"]) == (503, "close")
             assert "retry-after" in late.headers
             worker.hold.set()
@@ -465,14 +472,8 @@
     ("method", "path", "status"),
     [("POST", "/lend/", 504), ("GET", "/read/", 504)],
 )
-def test_a_target_that_says_nothing_leaves_no_caller_without_an_answer_at_a_stop(
-    method, path, status
-):
-    """ikenga-gate-grown scale-2: LOST.
-
-    A worker that never answers what it can't queue held an upload without a
-    time-out; the box ended and cut it off without a word.
-    """
+def test_caller_of_a_silent_target_gets_an_answer_at_a_planned_stop(method, path, status):
+    """Guards against a stopping box that closes a caller's connection without an answer."""
 
     async def test():
         async with stream_world(boxes=0) as world:
@@ -489,29 +490,25 @@
 
 
 @pytest.mark.parametrize(("method", "path"), [("POST", "/lend/"), ("GET", "/read/")])
-def test_a_target_that_leaves_while_it_is_being_reached_gets_nothing(monkeypatch, method, path):
-    """ikenga-gate-grown trouble-1 --seed 531803079277: DRAIN.
-
-    A request went to a worker that had said that it leaves while the
-    connection to it was being opened.
-    """
+def test_request_is_not_sent_to_a_target_that_leaves_while_connecting(monkeypatch, method, path):
+    """Guards against a request sent to a target that announced leaving during the connect."""
 
     async def test():
         async with stream_world(workers=2) as world:
             box = world.boxes[0]
-            take = LinkPool.take
-            slow = []
+            take_link = LinkPool.take
+            leaving_address = []
 
-            async def take_slowly(pool, **more):
-                link = await take(pool, **more)
-                if not slow:
-                    slow.append(pool.address)
+            async def connect_while_leaving(pool, **more):
+                link = await take_link(pool, **more)
+                if not leaving_address:
+                    leaving_address.append(pool.address)
                     leaving = next(i for i in box.instances.all() if i.address == pool.address)
                     box.instances.leave(leaving.name)
                 return link
 
-            monkeypatch.setattr(LinkPool, "take", take_slowly)
-            # Nobody is asked first, so that the connection is taken for the request.
+            monkeypatch.setattr(LinkPool, "take", connect_while_leaving)
+            # Without probes, the connection is opened for the request itself.
             box.probes.per_s = 0.0
             monkeypatch.setattr(type(box.probes), "has_left", lambda self, target: False)
             body = b"x" if method == "POST" else b""
@@ -520,12 +517,12 @@
             reached = {
                 worker.address: [run.request_id for run in worker.ran] for worker in world.workers
             }
-            assert reached[slow[0]] == []
+            assert reached[leaving_address[0]] == []
 
     run(test)
 
 
-def test_the_log_tells_a_target_that_asks_for_rest_from_one_that_is_full(caplog):
+def test_log_shows_backoff_requested_by_a_target(caplog):
     async def test():
         async with stream_world(workers=0) as world:
             caplog.set_level("INFO")
@@ -534,10 +531,10 @@
             await until(lambda: world.boxes[0].instances.of("loans"))
             await until(lambda: world.boxes[0].routes.table.version == 2)
             await call(world.boxes[0], "/read/a", "one")
-            (line,) = logged(caplog, "route")
+            (line,) = logged_events(caplog, "route")
             assert (line["tries"][0]["status"], line["tries"][0]["rest_s"]) == (503, 2.5)
-            (asked,) = logged(caplog, "target-asks-rest")[:1]
-            assert (asked["instance"], asked["rest_s"]) == (world.workers[0].instance, 2.5)
+            (requested,) = logged_events(caplog, "target-asks-rest")[:1]
+            assert (requested["instance"], requested["rest_s"]) == (world.workers[0].instance, 2.5)
             assert "dunlinnotch_rests_asked_total 1\n" in world.boxes[0].text_metrics.text()
 
     run(test)
