--- a/tests/stream_world.py
+++ b/tests/stream_world.py
@@ -1,4 +1,4 @@
-"""An entry box with stand-ins of the users' store and workers, in one process."""
+"""Test fixture: entry boxes with stand-ins of the users' store and workers in one process."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
     from collections.abc import AsyncIterator
 
 HOST = "books.example"
-WAIT_S = 20.0
+TIMEOUT_S = 20.0
 
 
 def free_port() -> int:
@@ -61,7 +61,7 @@
 
 @dataclass
 class Answer:
-    """What a client read."""
+    """An answer as received by a client."""
 
     status: int
     headers: dict[str, str]
@@ -70,7 +70,7 @@
 
 @dataclass
 class StreamWorld:
-    """A store, some workers and one or more boxes."""
+    """A store, workers and boxes of one test."""
 
     store: StoreStandin
     workers: list[WorkerStandin] = field(default_factory=list)
@@ -80,7 +80,7 @@
     async def add_worker(
         self, settings: WorkerSettings | None = None, *, service: str = "loans"
     ) -> WorkerStandin:
-        """Start a worker and list it."""
+        """Start a worker and write its row to the store."""
         worker = WorkerStandin(settings)
         await worker.start()
         self.workers.append(worker)
@@ -120,13 +120,13 @@
 
     @property
     def ran(self) -> list[str]:
-        """Ids of all requests that workers began to work on."""
+        """Ids of all requests that workers have started to run."""
         return [run.request_id for worker in self.workers for run in worker.ran]
 
 
 @contextlib.asynccontextmanager
 async def stream_world(*, boxes: int = 1, workers: int = 1) -> AsyncIterator[StreamWorld]:
-    """Run a world; everything is stopped at its end."""
+    """Start a store, workers and boxes; stop them when the context ends."""
     store = StoreStandin()
     await store.start()
     world = StreamWorld(store)
@@ -147,15 +147,15 @@
         await store.close()
 
 
-async def until(condition, *, within: float = WAIT_S) -> None:
-    """Wait until a condition holds."""
+async def until(condition, *, within: float = TIMEOUT_S) -> None:
+    """Wait until a condition holds; raise TimeoutError after ``within`` seconds."""
     async with asyncio.timeout(within):
         while not condition():
             await asyncio.sleep(0.005)
 
 
 async def connect(box: EntryBox) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """Open a client's connection to a box."""
+    """Connect to a box as a client."""
     host, _, port = box.caller.rpartition(":")
     return await asyncio.open_connection(host, int(port))
 
@@ -184,7 +184,7 @@
 
 
 async def read_answer(reader: asyncio.StreamReader) -> Answer:
-    """Read one answer to its last byte."""
+    """Read one complete answer."""
     raw = (await reader.readuntil(b"\r\n\r\n")).decode()
     first, *lines = raw.strip().split("\r\n")
     headers = dict(line.lower().split(": ", 1) for line in lines)
@@ -202,10 +202,10 @@
 async def call(
     box: EntryBox, path: str, request_id: str, *, method: str = "GET", body: bytes = b"", **more
 ) -> Answer:
-    """Send one request on a connection of its own."""
+    """Send one request on a new connection and return the answer."""
     reader, writer = await connect(box)
     try:
-        async with asyncio.timeout(WAIT_S):
+        async with asyncio.timeout(TIMEOUT_S):
             length = len(body) if body else None
             writer.write(head(path, request_id, method=method, length=length, **more) + body)
             return await read_answer(reader)
--- a/tests/test_leaving_targets.py
+++ b/tests/test_leaving_targets.py
@@ -1,4 +1,4 @@
-"""Targets that say in their answers that they leave."""
+"""Targets that announce in their answers that they leave."""
 
 from __future__ import annotations
 
@@ -21,7 +21,9 @@
         WorkerFault.EARLY,
     ],
 )
-def test_a_target_gets_nothing_more_once_any_answer_says_that_it_leaves(fault, probes, caplog):
+def test_target_gets_no_request_or_probe_after_an_answer_announced_that_it_leaves(
+    fault, probes, caplog
+):
     async def test():
         async with stream_world(workers=2) as world:
             caplog.set_level("INFO")
@@ -38,15 +40,15 @@
                 answer = await call(box, "/read/a", f"before-{number}")
                 assert answer.status == 200
                 assert "server-leaving" not in answer.headers
-            # A row written before, or read again with a later sequence, changes nothing.
+            # A row with a later sequence number does not make the target available again.
             row = leaving.row("loans", zone="hall-a", sequence=77)
             version = world.store.put("servers", leaving.instance, row)
             await until(lambda: box.tables["servers"].version >= version)
-            arrived, probed = len(leaving.arrivals), leaving.probes
+            arrivals, probes_sent = len(leaving.arrivals), leaving.probes
             for number in range(20):
                 assert (await call(box, "/read/a", f"after-{number}")).status == 200
-            assert (len(leaving.arrivals), leaving.probes) == (arrived, probed)
-            lines = [r.fields for r in caplog.records if r.message == "target-leaving"]
-            assert [line["why"] for line in lines] == ["said by itself"]
+            assert (len(leaving.arrivals), leaving.probes) == (arrivals, probes_sent)
+            events = [r.fields for r in caplog.records if r.message == "target-leaving"]
+            assert [fields["why"] for fields in events] == ["said by itself"]
 
     asyncio.run(test())
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -27,7 +27,7 @@
     return {server.recv(1024).decode() for _ in range(count)}
 
 
-def test_end_of_a_call_and_an_attempt_are_counted(server, metrics):
+def test_calls_and_attempts_are_counted(server, metrics):
     call = Call("c", "s", "k", "GET", "/", (), time.monotonic(), 0.0)
     result = CallResult(Outcome.NOT_RUN, 503, Reason.QUEUE_FULL)
     metrics.call_ended(call, result, waited=0.25, at_targets=9.0)
@@ -48,10 +48,10 @@
     assert receive(server, 1) == {"dn.box-1.settings.version:7|g"}
 
 
-def test_nothing_is_sent_without_a_server():
+def test_no_metric_is_sent_without_a_server():
     Metrics(None, prefix="x", clock=time.monotonic).count(Metric.RETRIES)
 
 
-def test_names_are_unique():
+def test_metric_names_are_unique():
     names = [metric.value.name for metric in Metric]
     assert len(names) == len(set(names))
--- a/tests/test_users_contract.py
+++ b/tests/test_users_contract.py
@@ -1,7 +1,7 @@
-"""Sentences of the users' protocol that the adapter relies on, each with its proof.
+"""Rules of the users' protocol that the adapter relies on.
 
-The names of the tests' parameters and the docstrings quote the page.  What
-single parts do with headers and documents is in ``test_platform_adapter.py``.
+The doc comments quote or summarise it.  Parsing of headers and documents is tested in
+``test_platform_adapter.py``.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 def run(test):
-    """Run an asynchronous test with a bound on its whole time."""
+    """Run an asynchronous test with a timeout."""
 
     async def bounded():
         async with asyncio.timeout(60):
@@ -53,8 +53,8 @@
             box = world.boxes[0]
             other = await world.add_worker(service="other")
             split = [{"service": "loans", "weight": 3}, {"service": "other", "weight": 1}]
-            plain = document(2, services=("loans", "other"), **{"traffic-split": split})
-            world.store.put("op", "config", plain)
+            content = document(2, services=("loans", "other"), **{"traffic-split": split})
+            world.store.put("op", "config", content)
             await until(lambda: box.routes.table.version == 2 and box.instances.of("other"))
             for number in range(80):
                 await call(box, "/read/", f"s{number}")
@@ -63,7 +63,7 @@
     run(test)
 
 
-def test_no_answer_from_a_worker():
+def test_request_to_a_silent_worker_times_out():
     """Workers of some services never answer what they cannot queue, and nothing further there."""
 
     async def test():
@@ -72,14 +72,14 @@
             worker.settings.faults = [WorkerFault.MUTE]
             answer = await call(box, "/lend/", "mute", method="POST", body=b"x", deadline_ms=200)
             assert answer.status == 504
-            # The connection was given up, so the next request has one of its own.
+            # The connection was closed, so the next request uses a new one.
             assert (await call(box, "/lend/", "next", method="POST", body=b"x")).status == 200
             assert world.ran == ["mute", "next"]
 
     run(test)
 
 
-def test_an_answer_before_the_body():
+def test_answer_before_the_end_of_the_request_body():
     """A worker is allowed to answer before it has read a long body."""
 
     async def test():
@@ -97,7 +97,7 @@
     run(test)
 
 
-def test_answers_of_one_connection_keep_their_order_and_owner():
+def test_pipelined_requests_are_answered_in_order():
     """Every caller gets the whole answer to its own request, in turn."""
 
     async def test():
@@ -118,7 +118,7 @@
     ("fault", "status"),
     [(WorkerFault.BARE_503, 502), (WorkerFault.LOST, 502), (WorkerFault.ERROR, 500)],
 )
-def test_a_promise_is_made_only_where_it_holds(fault, status):
+def test_status_503_is_sent_only_if_the_request_did_not_run(fault, status):
     """429 and 503 are a promise: the request has not run and will never run."""
 
     async def test():
@@ -131,10 +131,10 @@
     run(test)
 
 
-# -- the stand-ins keep the sentences too, or the tests above prove nothing
+# The stand-ins must follow the protocol too, otherwise the tests above are void.
 
 
-def test_expect_instance_at_the_stand_in():
+def test_stand_in_checks_expect_instance():
     """Every other worker answers 421 and does not run the request."""
 
     async def test():
@@ -152,7 +152,7 @@
     run(test)
 
 
-def test_transactions_at_the_stand_in():
+def test_stand_in_applies_transactions_atomically():
     """`rows-tx` does everything or nothing; 412 comes along with the rows as they are."""
 
     async def test():
@@ -160,14 +160,14 @@
         fetcher = Fetcher(await store.start())
 
         async def transact(ver, value, *, table="my", parts=("p",)):
-            plain = {
+            content = {
                 "expected-revision": [{"table": table, "part": "p", "tls-key": "k", "ver": ver}],
                 "put": [
                     {"table": table, "part": part, "tls-key": "k", "value": value} for part in parts
                 ],
                 "remove": [],
             }
-            body = json.dumps(plain).encode()
+            body = json.dumps(content).encode()
             return await fetcher.fetch("POST", "/api/rows-tx", body=body, timeout=5.0)
 
         assert (await transact(0, "YQ==")).status == 200
@@ -182,7 +182,7 @@
     run(test)
 
 
-def test_rows_and_objects_at_the_stand_in():
+def test_stand_in_lists_rows_in_order_and_keeps_blobs():
     """Keys rise bytewise; `from` is the first key, `target-version` excluded; objects are kept."""
 
     async def test():
@@ -194,12 +194,12 @@
         path = "/api/rows-get?table=t&from=a&target-version=c"
         rows = json.loads((await fetcher.fetch("GET", path, timeout=5.0)).body)["rows"]
         assert [row["tls-key"] for row in rows] == ["a", "b"]
-        whole = await PlatformStore(address).read_table("t")
-        assert [row.key for row in whole.rows] == ["B", "a", "b", "c"]
+        snapshot = await PlatformStore(address).read_table("t")
+        assert [row.key for row in snapshot.rows] == ["B", "a", "b", "c"]
         put = await fetcher.fetch("PUT", "/api/blob-put/x%2Fy", body=b"data", timeout=5.0)
         assert put.status == 200
-        got = await fetcher.fetch("GET", "/api/blob-get/x%2Fy", timeout=5.0)
-        assert got.body == b"data"
+        read = await fetcher.fetch("GET", "/api/blob-get/x%2Fy", timeout=5.0)
+        assert read.body == b"data"
         listed = await fetcher.fetch("GET", "/api/blob-list?path-prefix=x", timeout=5.0)
         assert json.loads(listed.body)["names"] == ["x/y"]
         await fetcher.fetch("DELETE", "/api/blob-drop/x%2Fy", timeout=5.0)
@@ -209,20 +209,20 @@
     run(test)
 
 
-def test_the_store_comes_back_from_a_copy():
-    """Versions go back and are given out again; a read from one that it lacks gets 410."""
+def test_stand_in_reissues_versions_after_a_restore():
+    """Versions go back and are issued again; a read after a missing version gets 410."""
 
     async def test():
         store = StoreStandin()
         fetcher = Fetcher(await store.start())
         try:
             store.put("op", "config", {"n": 1})
-            copied = store.now
+            restore_point = store.now
             await asyncio.sleep(0.01)
             store.put("op", "config", {"n": 2})
             store.put("op", "late", {"n": 3})
             await fetcher.fetch("PUT", "/api/blob-put/late", body=b"x", timeout=5)
-            store.come_back_from_copy(copied)
+            store.come_back_from_copy(restore_point)
             read = await fetcher.fetch("GET", "/api/rows-get?table=op&part=", timeout=5)
             (row,) = json.loads(read.body)["rows"]
             assert (row["ver"], json.loads(read.body)["ver"]) == (1, 1)
--- a/tests/test_users_processes.py
+++ b/tests/test_users_processes.py
@@ -1,4 +1,4 @@
-"""Entry boxes as processes, with settings files, signals and real sockets."""
+"""Entry boxes run as processes, with settings files, signals and sockets."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def run(tmp_path, test):
-    """Run a test with a fleet of its own."""
+    """Run an asynchronous test with a new fleet."""
 
     async def bounded():
         async with asyncio.timeout(60), UsersFleet(tmp_path) as fleet:
@@ -23,7 +23,7 @@
     asyncio.run(bounded())
 
 
-def test_a_box_serves_tells_and_stops(tmp_path):
+def test_box_serves_requests_and_its_endpoints_until_it_is_stopped(tmp_path):
     async def test(fleet):
         box = await fleet.start_box()
         assert (await fleet.call(box, "/lookup/a"))[0] == 200
@@ -31,12 +31,12 @@
         answer = await Fetcher(box.directory).fetch(
             "GET", "/api/resolve?name=x&region=r&zone=hall-a", timeout=5.0
         )
-        plain = json.loads(answer.body)
-        assert plain["addresses"] == [box.caller]
-        assert plain["ttl"].endswith("ms")
-        figures = (await Fetcher(box.figures).fetch("GET", "/metrics", timeout=5.0)).body.decode()
-        assert 'dunlinnotch_requests_total{kind="lookup",outcome="answered",reason=""} 1' in figures
-        assert "dunlinnotch_settings_version 1" in figures
+        content = json.loads(answer.body)
+        assert content["addresses"] == [box.caller]
+        assert content["ttl"].endswith("ms")
+        metrics = (await Fetcher(box.figures).fetch("GET", "/metrics", timeout=5.0)).body.decode()
+        assert 'dunlinnotch_requests_total{kind="lookup",outcome="answered",reason=""} 1' in metrics
+        assert "dunlinnotch_settings_version 1" in metrics
         assert await status_of(box.readiness, "/elsewhere") == 404
         box.send_signal(signal.SIGTERM)
         await box.wait_ready(status=503)
@@ -48,7 +48,7 @@
     run(tmp_path, test)
 
 
-def test_a_bad_settings_file_stops_the_start(tmp_path):
+def test_invalid_settings_file_prevents_the_start(tmp_path):
     async def test(fleet):
         box = fleet.make_box()
         box.write_settings(fleet.store.address, [], **{"network.bind.front": "everywhere"})
@@ -59,7 +59,7 @@
     run(tmp_path, test)
 
 
-def test_settings_are_read_again_on_sighup(tmp_path):
+def test_settings_are_reloaded_on_sighup(tmp_path):
     async def test(fleet):
         box = await fleet.start_box()
         box.write_settings(fleet.store.address, [box.ip], **{"terms.bounds.grace": "3s"})
@@ -73,7 +73,7 @@
     run(tmp_path, test)
 
 
-def test_a_killed_box_is_replaced_and_the_others_go_on(tmp_path):
+def test_killed_box_is_restarted_while_the_other_one_serves(tmp_path):
     async def test(fleet):
         first, second = await fleet.start_box(), await fleet.start_box()
         await until(lambda: '"box":"front-1"' in second.events(), "the boxes have met")
