--- a/dunlinnotch/coordination/__init__.py
+++ b/dunlinnotch/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Every decision: choice, limits, retries, steering, membership, settings."""
+"""Decisions: target selection, limits, retries, steering, membership and settings."""
--- a/dunlinnotch/coordination/core.py
+++ b/dunlinnotch/coordination/core.py
@@ -1,7 +1,7 @@
-"""All coordination parts of one box joined, without a socket or a thread.
+"""The coordination parts of one box, without sockets or threads.
 
-The daemon gives it transports and calls its steps from threads; others may
-embed it, and the tests place faults between its steps.
+The daemon supplies transports and calls the steps from its threads.  Other programs may
+embed it, and tests inject faults between the steps.
 """
 
 from __future__ import annotations
@@ -54,20 +54,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """Times that a box works by, in seconds.
+    """Timeouts of a box, and its number of readers.
 
     Parameters
     ----------
     suspect_s : float, default 6.0
-        Silence after which a box is not offered to callers.
+        Seconds without contact after which a box is not offered to callers.
     forget_s : float, default 30.0
-        Silence after which the row of an unlisted box is dropped.
+        Seconds without contact after which the row of an unlisted box is dropped.
     drain_margin_s : float, default 1.0
-        Added to the longest address answer in a drain.
+        Seconds added in a drain to the maximum lifetime of address answers.
     lease_s : float, default 300.0
-        Length of the lease of a probe seat.
+        Duration of a probe lease in seconds.
     readers : int, default 3
-        Boxes of each place that read the table often.
+        Number of boxes in each place that poll the table often.
     """
 
     suspect_s: Seconds = 6.0
@@ -78,24 +78,24 @@
 
 
 class BoxCore:
-    """One box.
+    """Coordination of one box.
 
     Parameters
     ----------
     row : BoxRow
-        The box's first row, with a new incarnation.
+        The box's initial row, with a new incarnation.
     platform : Platform
     transport : TargetTransport
     probe : callable
-        Given a target's address, returns its report, or None if it gave none.
+        Given a target's address, returns its load report, or None if it gave none.
     observer : CallObserver
     front : Front
-        The caller port, told when to close connections.
+        The caller port; a drain makes it close connections.
     clock : callable
     rng : random.Random
     timing : Timing, optional
     on_settings : callable, optional
-        Called after a new settings version is in force.
+        Called after a new settings version has become active.
     """
 
     def __init__(
@@ -168,25 +168,25 @@
         return self._router.route(call, body, reply, watch)
 
     def addresses(self, caller: str, place: str) -> AddressAnswer:
-        """Return the boxes that a caller should use."""
+        """Return the boxes that a caller in ``place`` should use."""
         return self.steering.answer(self.holder.tree, caller=caller, place=place)
 
     def deadline_of(self, service: str, kind: str) -> Seconds:
-        """Return the time, in seconds, for a call that states none."""
+        """Return the default deadline of a call in seconds."""
         path = f"{self.place}/{service}/{kind}"
         return self.holder.tree.effective(path).deadline_ms / 1000
 
     def version(self) -> Version:
-        """Return the settings version in force."""
+        """Return the active settings version."""
         return self.holder.version
 
     def poll_store(self) -> bool:
-        """Read the table and the list of boxes once.
+        """Poll the table and the list of boxes once.
 
         Returns
         -------
         bool
-            Whether the settings moved.
+            Whether the settings changed.
 
         Raises
         ------
@@ -199,23 +199,23 @@
         return moved
 
     def is_reader(self) -> bool:
-        """Return whether this box reads the table often on behalf of its place."""
+        """Return whether this box polls the table often on behalf of its place."""
         names = [row.name for row in self.membership.live() if row.place == self.place]
         readers = highest(self.place, names, self.timing.readers)
         return self.holder.version == 0 or self.name in readers
 
     def maintain(self) -> None:
-        """Renew this box's row and what depends on the other boxes' rows."""
+        """Refresh this box's row and the pools, which depend on the rows of other boxes."""
         pools = self.directory.pools()
-        told = tuple(word for pool in pools for word in pool.told_leaving())
-        self.membership.refresh_own(in_flight=self.gate.in_flight, leaving=told)
+        leaving = tuple(notice for pool in pools for notice in pool.told_leaving())
+        self.membership.refresh_own(in_flight=self.gate.in_flight, leaving=leaving)
         self.directory.rebuild(self.holder.tree, self.membership.live())
-        heard = [word for row in self.membership.rows() for word in row.leaving]
+        leaving_at_peers = [notice for row in self.membership.rows() for notice in row.leaving]
         for pool in self.directory.pools():
-            pool.hear_leaving(heard)
+            pool.hear_leaving(leaving_at_peers)
 
     def apply_run_state(self) -> None:
-        """Start or call off a drain, as the tree says."""
+        """Start or cancel a drain, according to the states in the settings tree."""
         tree = self.holder.tree
         states = (tree.box_state(self.name), tree.place_state(self.place))
         if any(state is not RunState.RUNNING for state in states):
@@ -224,30 +224,32 @@
             self.drain.resume()
 
     def begin_drain(self) -> None:
-        """Start a planned stop of this box, unless one is under way."""
+        """Start a planned stop of this box, unless one is in progress."""
         tree = self.holder.tree
-        longest = max(tree.effective(path).keep_s for path in (*tree.nodes, "/"))
+        max_keep_s = max(tree.effective(path).keep_s for path in (*tree.nodes, "/"))
         margin = self.timing.suspect_s + self.timing.drain_margin_s
-        self.drain.start(max_answer_lifetime=longest + margin)
+        self.drain.start(max_answer_lifetime=max_keep_s + margin)
 
     def renew_probe_lease(self) -> bool:
-        """Renew the probe seat; return whether one is held."""
+        """Renew the probe lease; return whether this box holds one."""
         return self.probe_lease.renew(self.holder.tree.effective("/").boxes_max)
 
     def probes_allowed(self) -> float:
-        """Return the probes a second that the budget lets this box send now."""
-        found = (
+        """Return the probes per second that the budget allows this box now."""
+        target_settings = (
             self._probe_settings(pool, target)
             for pool in self.directory.pools()
             for target in pool.records()
         )
-        return sum(probes_per_second(s) for s in found if self.probe_lease.held(s.boxes_max))
+        return sum(
+            probes_per_second(s) for s in target_settings if self.probe_lease.held(s.boxes_max)
+        )
 
     def _probe_settings(self, pool: ServicePool, target: TargetRecord) -> Settings:
         return self.holder.tree.effective(f"{target.place}/{pool.service}")
 
     def probe_unreported_targets(self) -> None:
-        """Probe targets that calls tell nothing of, within the budget."""
+        """Probe the targets that calls give no reports on, within the budget."""
         for pool in self.directory.pools():
             for target in pool.records():
                 self._probe_if_due(pool, target)
--- a/dunlinnotch/coordination/requests/__init__.py
+++ b/dunlinnotch/coordination/requests/__init__.py
@@ -1,5 +1,6 @@
-"""The way of one request from its head to its end, and of a planned stop.
+"""Processing of a request from its head to its end, and planned stops of a box.
 
-Upholds: what may not be repeated runs at most once; refused as not run has not
-run; the caller gets the whole answer to its own request; a stop cuts nothing.
+Guarantees: a request that is not idempotent runs at most once; a request reported as not
+run has not run; callers get the complete answer to their own request; a planned stop breaks
+off no request.
 """
--- a/dunlinnotch/coordination/requests/drain.py
+++ b/dunlinnotch/coordination/requests/drain.py
@@ -1,7 +1,7 @@
-"""A planned stop of a box that cuts off no request.
+"""Planned stop of a box without breaking off requests.
 
-The box goes on serving until the longest address answer that named it has
-lapsed, and only then closes connections between requests.
+The box keeps serving until all address answers that name it have expired.  Only then it
+closes connections between requests.
 """
 
 from __future__ import annotations
@@ -23,7 +23,13 @@
 
 
 class Front(Protocol):
-    """The caller port, as far as a drain needs it."""
+    """Part of the caller port that a drain uses.
+
+    Attributes
+    ----------
+    closing : bool
+        Whether connections are closed between requests.
+    """
 
     closing: bool
 
@@ -41,8 +47,8 @@
     Attributes
     ----------
     begun : threading.Event
-        Set while a drain is under way; :meth:`advance` is then to be called
-        every few dozen milliseconds.
+        Set while a drain is in progress; :meth:`advance` must then be called every few
+        dozen milliseconds.
     """
 
     def __init__(
@@ -59,22 +65,21 @@
 
     @property
     def phase(self) -> DrainPhase:
-        """How far the drain has come."""
+        """Current phase of the drain."""
         return self._phase
 
     def status(self) -> DrainStatus:
-        """Return what the drain waits for."""
+        """Return the phase and what the drain still waits for."""
         left = max(0.0, self._answers_until - self._clock())
         return DrainStatus(self._phase, round(left, 1), self._gate.in_flight)
 
     def start(self, *, max_answer_lifetime: Seconds) -> None:
-        """Begin to drain, unless a drain is under way.
+        """Start to drain, unless a drain is in progress.
 
         Parameters
         ----------
         max_answer_lifetime : float
-            Seconds for which a caller may still come with an answer that
-            names this box.
+            Seconds for which a caller may still use an address answer that names this box.
         """
         with self._lock:
             if self._phase is not DrainPhase.NONE:
@@ -86,7 +91,7 @@
         event(_log, "drain-started", answers_s=max_answer_lifetime, calls=self._gate.in_flight)
 
     def resume(self) -> None:
-        """Call the drain off, if the box still serves."""
+        """Cancel the drain if the box still serves."""
         with self._lock:
             if self._phase is not DrainPhase.ANSWERS:
                 return
@@ -96,7 +101,7 @@
         event(_log, "drain-called-off")
 
     def advance(self) -> DrainPhase:
-        """Go on to the next phase if nothing is left to wait for; return the phase."""
+        """Enter the next phase if there is nothing left to wait for; return the phase."""
         with self._lock:
             if self._phase is DrainPhase.ANSWERS and self._clock() >= self._answers_until:
                 self._phase = DrainPhase.CALLS
--- a/dunlinnotch/coordination/requests/idempotency.py
+++ b/dunlinnotch/coordination/requests/idempotency.py
@@ -1,4 +1,4 @@
-"""Run a request that may not be repeated at most once, whatever its caller does."""
+"""Run requests that are not idempotent at most once, also if their callers retry."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
     from dunlinnotch.state.ledger import KeyEntry
     from dunlinnotch.types import Address, Clock, Seconds
 
-#: Largest body kept for callers that ask again, in bytes.
-KEPT_BODY = 64 * 1024
+#: Larger bodies are not stored for retries.
+MAX_STORED_BODY_BYTES = 64 * 1024
 
 _BAD_REQUEST = 400
 _CONFLICT = 409
@@ -29,7 +29,7 @@
 
 
 class IdempotencyGuard:
-    """Check once-keys and answer repeats from the ledger.
+    """Check idempotency keys and answer retries from the ledger.
 
     Parameters
     ----------
@@ -53,7 +53,7 @@
         window: Seconds,
         route: Callable[[ReplySink], Result],
     ) -> CallResult:
-        """Run ``route`` if this call's key was never run, else answer from memory.
+        """Run ``route`` if the call's key has not run yet, else answer from the ledger.
 
         Parameters
         ----------
@@ -72,72 +72,76 @@
             msg = f"claim {claim.status} without an entry"
             raise InvariantError(msg)
         if claim.status is ClaimStatus.KNOWN:
-            return self._answer_twin(entry, call, reply)
-        keeper = _Keeper(reply)
-        settled = False
+            return self._answer_retry(entry, call, reply)
+        recorder = _RecordingReply(reply)
+        end_recorded = False
         try:
-            result = route(keeper)
-            self._settle(entry, result, keeper)
-            settled = True
+            result = route(recorder)
+            self._record_end(entry, result, recorder)
+            end_recorded = True
         finally:
-            if not settled:
+            if not end_recorded:
                 self._ledger.unknown(entry)
         return result
 
     def may_have_run(self, call: Call) -> bool:
-        """Return whether an earlier copy of a call with a once-key may have run.
+        """Return whether an earlier copy of a call with an idempotency key may have run.
 
-        Only the process that a key names can tell that it was never run, and
-        only while it remembers all keys of that age.
+        Only the process named in the key can rule that out, and only while its ledger
+        holds all keys of that age.
         """
         key = parse_once_key(call.once_key or "")
         if key is None:
             return False
         if (key.box, key.incarnation) != (self._box, self._incarnation):
             return True
-        return self._ledger.may_know(_name(call), minted=key.minted_ms / 1000)
+        return self._ledger.may_know(_ledger_key(call), minted=key.minted_ms / 1000)
 
     def _claim(self, call: Call, window: Seconds) -> Claim | CallResult:
         if call.once_key is None:
-            detail = "this request kind may not be repeated and needs a once-key"
+            detail = (
+                "this request kind is not idempotent and requires an idempotency key (once-key)"
+            )
             return _not_run(Reason.ONCE_KEY_MISSING, detail)
         key = parse_once_key(call.once_key)
         if key is None:
             return _not_run(
                 Reason.ONCE_KEY_INVALID,
-                "expected the stem from an address answer and a part of your own",
+                "expected the prefix from an address answer, followed by a part of your own",
             )
         if (key.box, key.incarnation) != (self._box, self._incarnation):
             detail = f"only box {key.box}, incarnation {key.incarnation}, may run this key"
             return CallResult(Outcome.UNKNOWN, _CONFLICT, Reason.ONCE_KEY_ELSEWHERE, detail)
-        claim = self._ledger.claim(_name(call), minted=key.minted_ms / 1000, window=window)
+        claim = self._ledger.claim(_ledger_key(call), minted=key.minted_ms / 1000, window=window)
         if claim.status is ClaimStatus.EXPIRED:
-            detail = f"the key is older than {window:g} s; whether it ran is no longer known"
+            detail = (
+                f"the key is older than {window:g} s; whether the request ran is no longer known"
+            )
             return CallResult(Outcome.UNKNOWN, _CONFLICT, Reason.ONCE_KEY_EXPIRED, detail)
         if claim.status is ClaimStatus.FULL:
-            detail = "too many once-keys are remembered"
+            detail = "the ledger of idempotency keys is full"
             return CallResult(
                 Outcome.NOT_RUN, _UNAVAILABLE, Reason.QUEUE_FULL, detail, _RETRY_AFTER_S
             )
         return claim
 
-    def _settle(self, entry: KeyEntry, result: CallResult, keeper: _Keeper) -> None:
+    def _record_end(self, entry: KeyEntry, result: CallResult, recorder: _RecordingReply) -> None:
         if result.outcome is Outcome.NOT_RUN:
             self._ledger.release(entry)
-        elif keeper.whole and keeper.head is not None:
-            self._ledger.answered(entry, KeptAnswer(keeper.head, keeper.body()))
+        elif recorder.complete and recorder.head is not None:
+            self._ledger.answered(entry, KeptAnswer(recorder.head, recorder.body()))
         else:
             self._ledger.unknown(entry)
 
-    def _answer_twin(self, entry: KeyEntry, call: Call, reply: ReplySink) -> CallResult:
+    def _answer_retry(self, entry: KeyEntry, call: Call, reply: ReplySink) -> CallResult:
         state = self._ledger.wait(entry, max(0.0, call.deadline - self._clock()))
         if not self._ledger.holds(entry):
-            return _refused_twin()
+            return _refuse_retry()
         if state is not KeyState.ANSWERED or entry.answer is None:
-            detail = "a request with this key was sent on and its end is not known"
+            detail = "a request with this key was sent to a target and its result is not known"
             return CallResult(Outcome.UNKNOWN, _CONFLICT, Reason.ONCE_KEY_KNOWN, detail)
         if entry.answer.body is None:
-            detail = "a request with this key has run; its answer is no longer kept"
+            detail = "a request with this key has run; its answer is no longer stored"
             return CallResult(Outcome.ANSWERED, _CONFLICT, Reason.ONCE_KEY_KNOWN, detail)
         reply.begin(entry.answer.head, target="")
         reply.send(entry.answer.body)
@@ -145,56 +149,56 @@
         return CallResult(Outcome.ANSWERED, entry.answer.head.status, begun=True)
 
 
-class _Keeper:
-    """Pass an answer on and keep a copy of it while it is small.
+class _RecordingReply:
+    """Relay an answer and record a copy of it while it is small.
 
-    A caller that has gone is no reason to stop reading: a repeat may ask
-    for the answer.
+    Such an answer is read to its end even if the caller has disconnected, because a retry
+    may ask for it.
     """
 
     def __init__(self, reply: ReplySink) -> None:
         self._reply = reply
-        self._parts: list[bytes] | None = []
+        self._chunks: list[bytes] | None = []
         self._size = 0
         self._gone = False
         self.head: AnswerHead | None = None
-        self.whole = False
+        self.complete = False
 
     def body(self) -> bytes | None:
         """Return the copy, or None if the body was too large."""
-        return None if self._parts is None else b"".join(self._parts)
+        return None if self._chunks is None else b"".join(self._chunks)
 
     def begin(self, head: AnswerHead, *, target: Address) -> None:
-        """Pass the head on."""
+        """Relay the head."""
         self.head = head
-        self._pass(lambda: self._reply.begin(head, target=target))
+        self._forward(lambda: self._reply.begin(head, target=target))
 
     def send(self, chunk: bytes) -> None:
-        """Pass a part on and keep it."""
+        """Relay a part and record it."""
         self._size += len(chunk)
-        if self._size > KEPT_BODY:
-            self._parts = None
-        elif self._parts is not None:
-            self._parts.append(chunk)
-        self._pass(lambda: self._reply.send(chunk))
+        if self._size > MAX_STORED_BODY_BYTES:
+            self._chunks = None
+        elif self._chunks is not None:
+            self._chunks.append(chunk)
+        self._forward(lambda: self._reply.send(chunk))
 
     def finish(self) -> None:
-        """Pass the clean end on."""
-        self.whole = True
-        self._pass(self._reply.finish)
+        """Relay the clean end."""
+        self.complete = True
+        self._forward(self._reply.finish)
 
-    def _pass(self, action: Callable[[], None]) -> None:
+    def _forward(self, action: Callable[[], None]) -> None:
         if self._gone:
             return
         try:
             action()
         except CallerGoneError:
-            if self._parts is None:
+            if self._chunks is None:
                 raise
             self._gone = True
 
 
-def _name(call: Call) -> str:
+def _ledger_key(call: Call) -> str:
     return f"{call.service}/{call.kind}/{call.once_key}"
 
 
@@ -202,6 +206,6 @@
     return CallResult(Outcome.NOT_RUN, _BAD_REQUEST, reason, detail)
 
 
-def _refused_twin() -> CallResult:
-    detail = "the first request with this key did not run; ask again"
+def _refuse_retry() -> CallResult:
+    detail = "the first request with this key did not run; retry it"
     return CallResult(Outcome.NOT_RUN, _UNAVAILABLE, Reason.ONCE_KEY_KNOWN, detail, _RETRY_AFTER_S)
--- a/dunlinnotch/coordination/settings/__init__.py
+++ b/dunlinnotch/coordination/settings/__init__.py
@@ -1,5 +1,5 @@
-"""How settings and the list of targets are followed, edited and put in force.
+"""Following, editing and activating the settings and the list of targets.
 
-Upholds: versions only rise; a change that was accepted is in force everywhere in
-time; a box knows how old its knowledge is and acts by it.
+Guarantees: versions only rise; an accepted change becomes active on all boxes in bounded
+time; a box knows the age of its local copy and acts accordingly.
 """
--- a/dunlinnotch/coordination/settings/gate.py
+++ b/dunlinnotch/coordination/settings/gate.py
@@ -1,4 +1,4 @@
-"""Whether this box takes new work: settings known, in contact, not drained."""
+"""Decides whether this box accepts new calls."""
 
 from __future__ import annotations
 
@@ -13,19 +13,26 @@
     from dunlinnotch.coordination.settings.tree import SettingsHolder
     from dunlinnotch.types import Clock
 
-#: When a caller refused by this box may come back to it.
 _RETRY_AFTER_S = 1.0
 _UNAVAILABLE = 503
 
 
 class WorkGate:
-    """Decide whether a new call may be accepted, and count calls in flight.
+    """Accept or refuse new calls, and count those in flight.
+
+    Calls are refused while no settings are known, while the box is out of contact with
+    table and peers, and after a drain.
 
     Parameters
     ----------
     membership : Membership
     holder : SettingsHolder
     clock : callable
+
+    Attributes
+    ----------
+    closed : bool
+        Whether all new calls are refused.
     """
 
     def __init__(self, membership: Membership, holder: SettingsHolder, *, clock: Clock) -> None:
@@ -38,11 +45,11 @@
 
     @property
     def in_flight(self) -> int:
-        """Calls accepted and not ended."""
+        """Number of calls accepted and not yet completed."""
         return self._in_flight
 
     def enter(self) -> CallResult | None:
-        """Count a call in, or return why it is refused as not run."""
+        """Accept and count a call, or return its refusal."""
         with self._count:
             refusal = self.refusal()
             if refusal is None:
@@ -50,18 +57,18 @@
             return refusal
 
     def leave(self) -> None:
-        """Count a call out."""
+        """Count a call as completed."""
         with self._count:
             self._in_flight -= 1
 
     def close_if_idle(self) -> bool:
-        """Take no more work if no call is in flight; return whether that is so."""
+        """Refuse new calls from now on if none is in flight; return whether closed."""
         with self._count:
             self.closed = self.closed or self._in_flight == 0
             return self.closed
 
     def refusal(self) -> CallResult | None:
-        """Return why new work is refused now, or None."""
+        """Return the refusal of new calls, or None if they are accepted."""
         if self.closed or self._membership.own.state is RunState.STOPPED:
             return _refused(Reason.BOX_DRAINED, "this box has been drained")
         if self._holder.version == 0:
@@ -69,7 +76,7 @@
         cut_off = self._holder.tree.effective(self._membership.own.place).cut_off_s
         contact = self._membership.last_contact()
         if contact is None or self._clock() - contact > cut_off:
-            return _refused(Reason.CUT_OFF, f"neither table nor peer heard for {cut_off} s")
+            return _refused(Reason.CUT_OFF, f"no contact with table or peers for {cut_off} s")
         return None
 
 
--- a/dunlinnotch/coordination/settings/tree.py
+++ b/dunlinnotch/coordination/settings/tree.py
@@ -1,9 +1,8 @@
-"""Keep the settings tree in force, follow the table and make edits.
+"""The active settings tree: following the table and making edits.
 
-The table holds one row for the newest version and one for each edit, both
-written in one transaction; the object store holds a snapshot now and then, so
-that a box that starts need not read every edit.  A tree only ever moves to a
-higher version.
+The table holds one row with the newest version and one row for each edit, both written in
+one transaction.  The object store holds a recent snapshot, so that a starting box need not
+read every edit.  A tree is only ever replaced by one of a higher version.
 """
 
 from __future__ import annotations
@@ -31,19 +30,19 @@
 #: A snapshot is stored at each multiple of this version.
 SNAPSHOT_EVERY = 64
 _SCAN_LIMIT = 256
-#: Rounds in which an edit is tried or read back before it is called unknown.
-_EDIT_ROUNDS = 6
+#: Attempts to write an edit or read it back before its result is reported as unknown.
+_MAX_EDIT_ATTEMPTS = 6
 
 _log = logging.getLogger(__name__)
 
 
 def edit_key(version: Version) -> str:
-    """Return the key of the row that holds the edit which made ``version``."""
+    """Return the key of the row that holds the edit with this version."""
     return f"{EDIT_PREFIX}{version:012d}"
 
 
 class SettingsHolder:
-    """The settings tree in force on this box.
+    """The active settings tree of this box.
 
     Parameters
     ----------
@@ -62,16 +61,16 @@
 
     @property
     def version(self) -> Version:
-        """Version in force; 0 before any is known."""
+        """Active version; 0 before any is known."""
         return self.tree.version
 
     def advance(self, edits: Iterable[Edit]) -> bool:
-        """Apply those edits that follow the tree in force.
+        """Apply those edits that follow the active tree.
 
         Returns
         -------
         bool
-            Whether the version moved.
+            Whether the version changed.
         """
         with self._lock:
             tree = self.tree
@@ -81,7 +80,7 @@
             return self._activate(tree)
 
     def replace(self, tree: SettingsTree) -> bool:
-        """Take a whole tree if it is newer; return whether it was."""
+        """Replace the tree if the given one is newer; return whether it was."""
         with self._lock:
             return self._activate(tree)
 
@@ -103,6 +102,13 @@
     platform : Platform
     holder : SettingsHolder
     clock : callable
+
+    Attributes
+    ----------
+    read_at : float or None
+        Clock time, in seconds, at which the last successful read was sent.
+    head_row_version : int
+        Version of the row that holds the newest settings version; 0 if it is missing.
     """
 
     def __init__(self, platform: Platform, holder: SettingsHolder, *, clock: Clock) -> None:
@@ -113,28 +119,28 @@
         self.head_row_version = 0
 
     def poll(self) -> bool:
-        """Bring the holder up to the table's newest version.
+        """Update the holder to the table's newest version.
 
         Returns
         -------
         bool
-            Whether the version moved.
+            Whether the version changed.
 
         Raises
         ------
         PlatformUnavailableError
         """
-        asked = self._clock()
+        requested_at = self._clock()
         row = self._platform.read(HEAD_KEY)
         head = _head_version(row)
         self.head_row_version = row.version if row is not None else 0
         try:
             moved = self._catch_up(head)
         except (ProtocolError, SettingsError) as error:
-            # One bad row must not end every box that reads it.
+            # An invalid row must not crash every box that reads it.
             msg = f"the settings in the table can't be read: {error}"
             raise PlatformUnavailableError(msg) from None
-        self.read_at = asked
+        self.read_at = requested_at
         return moved
 
     def _catch_up(self, head: Version) -> bool:
@@ -156,7 +162,7 @@
 
 
 class SettingsEditor:
-    """Make operators' edits by compare-and-set on the table.
+    """Write operators' edits by compare-and-set on the table.
 
     Parameters
     ----------
@@ -187,12 +193,12 @@
         self._lock = threading.Lock()
 
     def edit(self, edit: Edit, *, timeout: Seconds) -> EditResult:
-        """Make one edit and wait until it is in force.
+        """Write one edit and wait until it is active on all boxes.
 
         Parameters
         ----------
         edit : Edit
-            With the same id in each repeat.
+            A retry must have the same id.
         timeout : float
             Seconds to wait for the boxes' confirmations.
 
@@ -201,50 +207,50 @@
         EditResult
         """
         with self._lock:
-            made = self._commit(edit)
+            result = self._commit(edit)
         event(
             _log,
             "settings-edit",
             edit=edit.edit_id,
             author=edit.author,
-            status=made.status,
-            version=made.version,
+            status=result.status,
+            version=result.version,
             paths=sorted(edit.paths()),
-            detail=made.detail,
+            detail=result.detail,
         )
-        if made.status is not EditStatus.ACCEPTED:
-            return made
-        self._wait(made.version, timeout)
-        missing = self._missing(made.version)
+        if result.status is not EditStatus.ACCEPTED:
+            return result
+        self._wait(result.version, timeout)
+        missing = self._missing(result.version)
         status = EditStatus.PENDING if missing else EditStatus.ACCEPTED
-        return EditResult(status, made.version, missing=missing)
+        return EditResult(status, result.version, missing=missing)
 
     def _commit(self, edit: Edit) -> EditResult:
-        """Write the edit, settling lost answers by reading back."""
+        """Write the edit; if an answer is lost, read back whether it was stored."""
         sent = False
-        for _ in range(_EDIT_ROUNDS):
+        for _ in range(_MAX_EDIT_ATTEMPTS):
             try:
                 self._follower.poll()
-                refused = self._settled(edit)
-                if refused is not None:
-                    return refused
+                existing = self._existing_result(edit)
+                if existing is not None:
+                    return existing
                 sent = True
                 if self._write(edit) is TransactResult.COMMITTED:
-                    return self._in_force_here(edit)
+                    return self._activate_edit(edit)
             except PlatformUnavailableError as error:
                 if not sent:
                     return EditResult(EditStatus.UNAVAILABLE, self._holder.version, str(error))
-        detail = "the platform did not say whether the edit was kept; ask again with the same id"
+        detail = "the platform did not confirm whether the edit was stored; retry with the same id"
         return EditResult(EditStatus.UNKNOWN, self._holder.version, detail)
 
-    def _settled(self, edit: Edit) -> EditResult | None:
-        """Return the result if the edit was kept earlier, is bad or conflicts."""
+    def _existing_result(self, edit: Edit) -> EditResult | None:
+        """Return the result if the edit is already stored, invalid or in conflict."""
         tree = self._holder.tree
-        known = tree.find_edit(edit.edit_id)
-        if known is not None:
-            return EditResult(EditStatus.ACCEPTED, known.version)
+        earlier = tree.find_edit(edit.edit_id)
+        if earlier is not None:
+            return EditResult(EditStatus.ACCEPTED, earlier.version)
         if conflicts := tree.conflicts(edit):
-            detail = f"changed by someone else since version {edit.base}"
+            detail = f"changed by another edit since version {edit.base}"
             return EditResult(EditStatus.CONFLICT, tree.version, detail, conflicts)
         try:
             tree.apply(_numbered(edit, tree.version + 1))
@@ -264,7 +270,7 @@
         )
         return self._platform.transact(transaction)
 
-    def _in_force_here(self, edit: Edit) -> EditResult:
+    def _activate_edit(self, edit: Edit) -> EditResult:
         version = self._holder.version + 1
         self._holder.advance([_numbered(edit, version)])
         if version % SNAPSHOT_EVERY == 0:
