--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""Boxes replaced, cut and racing, on the same world as the fault matrix."""
+"""Replaced and partitioned boxes, racing edits, and drains, in the simulated world."""
 
 import pytest
 
@@ -21,12 +21,12 @@
     return {name: core.holder.tree.effective("hall-a").rank for name, core in world.boxes.items()}
 
 
-def settled(world):
+def assert_recovered(world):
     world.heal()
     assert check(world) == []
 
 
-def test_boxes_replaced_one_by_one_while_the_table_is_down_keep_settings(world):
+def test_boxes_replaced_one_by_one_during_a_table_outage_keep_the_settings(world):
     world.store.set_faults(PlatformFaults(down=True))
     for number, place in enumerate(("hall-a", "hall-b")):
         world.start_box(f"new-{number}", place)
@@ -35,19 +35,19 @@
         world.kill(f"box-{number}")
         world.tick()
     assert world.call("loan").outcomes[-1] is Outcome.ANSWERED
-    settled(world)
+    assert_recovered(world)
 
 
-def test_boxes_replaced_all_at_once_with_the_table_well_read_it(world):
+def test_boxes_replaced_all_at_once_read_the_settings_from_the_table(world):
     for name in list(world.boxes):
         world.kill(name)
     world.start_box("new-0", "hall-a")
     assert world.boxes["new-0"].holder.version == 1
     assert world.call("lookup").outcomes[-1] is Outcome.ANSWERED
-    settled(world)
+    assert_recovered(world)
 
 
-def test_boxes_replaced_all_at_once_with_the_table_down_refuse_until_it_is_back(world):
+def test_boxes_replaced_all_at_once_refuse_calls_until_the_table_is_back(world):
     world.store.set_faults(PlatformFaults(down=True))
     for name in list(world.boxes):
         world.kill(name)
@@ -58,39 +58,39 @@
     world.store.set_faults(PlatformFaults())
     world.tick()
     assert world.call("lookup").outcomes[-1] is Outcome.ANSWERED
-    settled(world)
+    assert_recovered(world)
 
 
-def test_table_outage_of_an_hour_stops_nobody(world):
+def test_an_hour_of_table_outage_stops_no_calls(world):
     world.store.set_faults(PlatformFaults(down=True))
     for _ in range(360):
         world.tick(10.0)
         world.sync()
     assert world.call("loan").outcomes[-1] is Outcome.ANSWERED
-    settled(world)
+    assert_recovered(world)
 
 
-def test_half_of_the_boxes_cut_from_the_table_still_get_edits_from_peers(world):
+def test_boxes_cut_off_from_the_table_get_edits_from_peers(world):
     world.cut_from_table.add("box-1")
     status = world.edit("box-0", Change("hall-a", "rank", "3"))
     assert status is EditStatus.ACCEPTED
     assert set(rank(world).values()) == {3}
-    settled(world)
+    assert_recovered(world)
 
 
-@pytest.mark.parametrize("way", ["cut", "deaf"])
-def test_box_that_hears_nobody_stops_in_time_and_no_edit_is_accepted_over_it(world, way):
-    getattr(world, way).add("box-1")
+@pytest.mark.parametrize("fault", ["cut", "deaf"])
+def test_an_isolated_box_stops_in_time_and_no_edit_is_accepted_before(world, fault):
+    getattr(world, fault).add("box-1")
     world.cut_from_table.add("box-1")
     assert world.edit("box-0", Change("hall-a", "rank", "3"), rounds=3) is EditStatus.PENDING
     for _ in range(int(CUT_OFF_S) + 2):
         world.tick()
     assert world.boxes["box-1"].gate.refusal().reason is Reason.CUT_OFF
-    settled(world)
+    assert_recovered(world)
     assert set(rank(world).values()) == {3}
 
 
-def test_operators_racing_on_one_node_see_a_conflict_and_on_two_both_hold(world):
+def test_racing_edits_conflict_on_one_node_and_merge_on_two(world):
     base = {name: core.holder.version for name, core in world.boxes.items()}
     assert set(base.values()) == {1}
     first = world.edit("box-0", Change("hall-a", "rank", "3"))
@@ -104,19 +104,19 @@
     assert edit("hall-b").status in (EditStatus.ACCEPTED, EditStatus.PENDING)
     world.tick()
     assert set(rank(world).values()) == {3}
-    settled(world)
+    assert_recovered(world)
 
 
-def test_edit_whose_answers_are_all_lost_is_known_by_its_id(world):
+def test_an_edit_with_a_lost_answer_is_found_by_its_id(world):
     world.store.set_faults(PlatformFaults(lose_answers=1))
     key = "an-id"
     assert world.edit("box-0", Change("hall-a", "rank", "3"), key=key) is EditStatus.ACCEPTED
     assert world.edit("box-1", Change("hall-a", "rank", "3"), key=key) is EditStatus.ACCEPTED
     assert world.boxes["box-0"].holder.version == 2
-    settled(world)
+    assert_recovered(world)
 
 
-def test_stopped_place_drains_its_boxes_and_gets_no_new_work(world):
+def test_a_stopped_place_drains_its_boxes_and_gets_no_new_calls(world):
     assert world.edit("box-0", Change("hall-b", "state", "stopped")) is EditStatus.ACCEPTED
     world.tick()
     assert world.boxes["box-1"].membership.own.state is RunState.DRAINING
@@ -128,20 +128,20 @@
     for _ in range(15):
         world.tick()
     assert world.boxes["box-1"].membership.own.state is RunState.STOPPED
-    settled(world)
+    assert_recovered(world)
 
 
-def test_drain_that_is_called_off_lets_the_box_serve_on(world):
+def test_a_box_serves_again_after_its_drain_is_cancelled(world):
     world.edit("box-1", Change("box:box-1", "state", "draining"))
     world.tick()
     assert world.boxes["box-1"].membership.own.state is RunState.DRAINING
     world.edit("box-0", Change("box:box-1", "state", None))
     world.tick()
     assert world.boxes["box-1"].membership.own.state is RunState.RUNNING
-    settled(world)
+    assert_recovered(world)
 
 
-def test_word_of_a_leaving_target_reaches_the_other_boxes(world):
+def test_notice_of_a_leaving_target_reaches_the_other_boxes(world):
     target = world.targets["10.0.0.0:80"]
     target.leaving_since = world.clock()
     target.mode = "draining"
@@ -154,10 +154,10 @@
     for core in world.boxes.values():
         record = core.directory.pool("holdings").find(target.address)
         assert record is None or record.leaving
-    settled(world)
+    assert_recovered(world)
 
 
-def test_halves_cut_from_each_other_accept_nothing_behind_the_others_back(world):
+def test_partitioned_boxes_accept_no_edit_that_the_other_half_misses(world):
     world.start_box("box-2", "hall-a")
     world.start_box("box-3", "hall-b")
     world.list_boxes()
@@ -166,11 +166,11 @@
     world.cut_from_table = {"box-1", "box-3"}
     assert world.edit("box-0", Change("hall-a", "rank", "3"), rounds=20) is EditStatus.PENDING
     assert rank(world) == {"box-0": 3, "box-1": 5, "box-2": 3, "box-3": 5}
-    settled(world)
+    assert_recovered(world)
     assert set(rank(world).values()) == {3}
 
 
-def test_boxes_that_join_in_a_burst_stay_within_the_probe_budget(world):
+def test_many_boxes_that_join_at_once_stay_within_the_probe_budget(world):
     world.store.set_faults(PlatformFaults(list_frozen=True))
     for number in range(2, 8):
         world.start_box(f"box-{number}", "hall-a")
@@ -178,11 +178,11 @@
         world.tick()
     probed = [len(target.probes) for target in world.targets.values()]
     assert any(probed)
-    settled(world)
+    assert_recovered(world)
 
 
 @pytest.mark.parametrize("seconds", [LEASE_S * 0.5, LEASE_S * 1.1, LEASE_S * 3])
-def test_prober_that_was_paused_never_spends_anothers_share(world, seconds):
+def test_a_paused_prober_does_not_spend_the_budget_of_its_successor(world, seconds):
     world.start_box("box-2", "hall-a")
     for _ in range(20):
         world.tick()
@@ -191,4 +191,4 @@
     world.boxes[paused].probe_unreported_targets()
     for _ in range(20):
         world.tick()
-    settled(world)
+    assert_recovered(world)
