--- a/dunlinnotch/coordination/settings/store_tables.py
+++ b/dunlinnotch/coordination/settings/store_tables.py
@@ -195,10 +195,10 @@
 
     def _targets_state_starts(self, new: list[ListedTarget]) -> bool:
         """Return whether half of the targets or more state when they started."""
-        known = {instance.name: instance.listed for instance in self._instances.all()}
-        known.update((listed.instance, listed) for listed in new)
-        stating_start = sum(listed.born > 0 for listed in known.values())
-        return stating_start > 0 and 2 * stating_start >= len(known)
+        listed_by_name = {instance.name: instance.listed for instance in self._instances.all()}
+        listed_by_name.update((listed.instance, listed) for listed in new)
+        stating_start = sum(listed.born > 0 for listed in listed_by_name.values())
+        return stating_start > 0 and 2 * stating_start >= len(listed_by_name)
 
     def _apply_target(self, listed: ListedTarget, *, starts_stated: bool) -> None:
         if starts_stated and not listed.born:
@@ -207,7 +207,7 @@
                 "the row does not state when the target started, as those of other targets do",
             )
             return
-        known = self._instances.find(listed.instance)
+        previous = self._instances.find(listed.instance)
         if self._instances.take(listed, self._clock()):
             event(
                 _log,
@@ -217,7 +217,7 @@
                 service=listed.service,
                 target=listed.address,
                 sequence=listed.sequence,
-                new=known is None or known.listed.born != listed.born,
+                new=previous is None or previous.listed.born != listed.born,
             )
 
     def _remove(self, keys: list[str]) -> None:
--- a/tests/test_crash_guard.py
+++ b/tests/test_crash_guard.py
@@ -144,7 +144,7 @@
                 name = worker.instance
                 await until(lambda name=name: box.instances.find(name))
             worker.settings.ends_under = None
-            assert (await call(box, WORST, "mended")).status == 200
+            assert (await call(box, WORST, "fixed")).status == 200
             for record in box.crashes.settled:
                 assert (record.answers, record.targets) == (1, {})
             assert len(box.crashes.settled) == 2
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -26,12 +26,12 @@
         self.reads = 0
         self.requested_from = []
 
-    def whole(self):
+    def snapshot(self):
         return TableDelta("t", self.version, True, (TableRow("k", self.version, b"v"),))
 
     async def read_table(self, table):
         self.reads += 1
-        return self.whole()
+        return self.snapshot()
 
     async def changes(self, table, after, wait):
         self.requested_from.append(after)
@@ -136,8 +136,8 @@
     """Its answers are rejected, and it must not be flooded with reads."""
 
     async def test(source, table, follower, versions):
-        table.take(replace(source.whole(), version=9, era=3), at=0.0)
-        source.whole = lambda: TableDelta("t", 20, True, (TableRow("k", 20, b"w"),), era=1)
+        table.take(replace(source.snapshot(), version=9, era=3), at=0.0)
+        source.snapshot = lambda: TableDelta("t", 20, True, (TableRow("k", 20, b"w"),), era=1)
 
         async def history_gone(table, after, wait):
             return HistoryGone()
