--- a/benchmarks/goodput.py
+++ b/benchmarks/goodput.py
@@ -327,7 +327,7 @@
             catching_up=lambda: False,
             instances=instances,
             chooser=chooser,
-            times=times,
+            latency_model=times,
             selector=seeker,
             make_retry_share=lambda: RepeatShare(ratio=0.2, slack=62, window=10, clock=clock),
             guard=CrashGuard(CrashLog(clock=clock), targets, publish=lambda _: None),
--- a/dunlinnotch/coordination/requests/forward.py
+++ b/dunlinnotch/coordination/requests/forward.py
@@ -84,7 +84,7 @@
         Returns whether the process was paused and has not yet learned what has changed.
     instances : InstanceList
     chooser : FreshChooser
-    times : WorkTimes
+    latency_model : WorkTimes
     selector : TargetSeeker
     make_retry_share : callable
         Creates the retry budget of a service.
@@ -102,7 +102,7 @@
         catching_up: Callable[[], bool],
         instances: InstanceList,
         chooser: FreshChooser,
-        times: WorkTimes,
+        latency_model: WorkTimes,
         selector: TargetSeeker,
         make_retry_share: Callable[[], RepeatShare],
         guard: CrashGuard,
@@ -115,7 +115,7 @@
         self._catching_up = catching_up
         self._instances = instances
         self._chooser = chooser
-        self._times = times
+        self._latency_model = latency_model
         self._selector = selector
         self._make_retry_share = make_retry_share
         self._guard = guard
@@ -445,7 +445,9 @@
             if not failed:
                 # Failed answers are left out: they are fast and would lower the usual time.
                 took = self._loop.time() - run.attempts[-1].began
-                self._times.note(kind.name, run.service, run.attempts[-1].selection.start, took)
+                self._latency_model.note(
+                    kind.name, run.service, run.attempts[-1].selection.start, took
+                )
             return Ending(Outcome.ANSWERED, head.status)
         except BodyCutError as error:
             self._chooser.failed(instance, self._loop.time())
@@ -468,7 +470,7 @@
         # The caller's latency counts from its first attempt, not from its last retry.
         latency_goal_at = min(run.request.deadline, run.first_attempt_at + kind.target_latency)
         timeout_at = min(run.request.deadline, run.request.arrived + kind.timeout)
-        usual_s = self._times.usual(kind.name)
+        usual_s = self._latency_model.usual(kind.name)
         return await self._selector.choose(
             service,
             rank=kind.rank,
--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -210,7 +210,7 @@
             catching_up=lambda: self.wake.catching_up,
             instances=self.instances,
             chooser=chooser,
-            times=self.times,
+            latency_model=self.times,
             selector=self.seeker,
             make_retry_share=self._make_repeats,
             guard=self._crash_guard,
