--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -222,7 +222,7 @@
             catching_up=lambda: self.pause_detector.catching_up,
             instances=self.instances,
             chooser=chooser,
-            times=self.work_times,
+            latency_model=self.work_times,
             selector=self.selector,
             make_retry_share=self._make_retry_share,
             guard=self._crash_guard,
