--- a/tests/test_wake.py
+++ b/tests/test_wake.py
@@ -117,14 +117,14 @@
             box = world.boxes[0]
             await until(lambda: len(box.mesh.live()) == 2)
             asked = []
-            send = box.gossip._words.send
+            send = box.gossip._gossip_port.send
 
             def watched(messages, to):
                 messages = list(messages)
                 asked.extend(to for m in messages if getattr(m, "wants_word", False))
                 send(messages, to)
 
-            box.gossip._words.send = watched
+            box.gossip._gossip_port.send = watched
             suspended[0] += SUSPENDED_S
             await until(lambda: asked)
             await until(lambda: box.ready)
