--- a/dunlinnotch/platform/settings_file.py
+++ b/dunlinnotch/platform/settings_file.py
@@ -52,7 +52,7 @@
         return value
 
     def address(self, name: str) -> str:
-        """Return a required address, an IP number with a port."""
+        """Return a required address, an IPv4 address with a port."""
         return _checked_address(name, self.text(name))
 
     def addresses(self, name: str) -> tuple[str, ...]:
@@ -162,6 +162,6 @@
 
 def _checked_address(name: str, value: str) -> str:
     if not _ADDRESS.match(value) or not 0 < int(value.rpartition(":")[2]) < 65536:
-        msg = f"{name} = {value!r}: allowed is an IP number with a port, as in 10.1.0.35:8144"
+        msg = f"{name} = {value!r}: allowed is an IPv4 address with a port, as in 10.1.0.35:8144"
         raise ConfigError(msg)
     return value
--- a/dunlinnotch/platform/store.py
+++ b/dunlinnotch/platform/store.py
@@ -34,7 +34,7 @@
     Parameters
     ----------
     address : str
-        IP number and port of the store.
+        IP address and port of the store.
 
     Notes
     -----
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -104,12 +104,12 @@
             assert safe.body.endswith(b"ran safe")
             assert world.ran.count("safe") == 3
             faults.append(fault)
-            once = await call(world.boxes[0], "/lend/", "once", method="POST", body=b"x")
+            unsafe = await call(world.boxes[0], "/lend/", "once", method="POST", body=b"x")
             assert world.ran.count("once") == 1
             # No status that guarantees that the request did not run, and no seal with a 502.
-            assert once.status in (500, 502)
-            if once.status == 502:
-                assert "response-seal" not in once.headers
+            assert unsafe.status in (500, 502)
+            if unsafe.status == 502:
+                assert "response-seal" not in unsafe.headers
 
     run(test)
 
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -54,7 +54,7 @@
     [
         ("self.zone=hall-a", "self.zone=", "self.zone = ''"),
         ("front=10.1.0.35:8144", "front=box:8144", "network.bind.front = 'box:8144'"),
-        ("front=10.1.0.35:8144", "front=10.1.0.35:99999", "IP number with a port"),
+        ("front=10.1.0.35:8144", "front=10.1.0.35:99999", "IPv4 address with a port"),
         ("range=7660,7675", "range=7675,7660", "two ports, the lower first"),
         ("grace=6s", "grace=soon", "a time such as 1500ms"),
         ("probes-per-s=60", "probes-per-s=-1", "a number of 0 or more"),
@@ -130,17 +130,17 @@
     ],
 )
 def test_document_error_names_the_first_invalid_field(change, message):
-    plain = {**document(7), **change}
+    content = {**document(7), **change}
     with pytest.raises(SettingsError, match=message):
-        documents.read_document(json.dumps(plain).encode())
+        documents.read_document(json.dumps(content).encode())
 
 
 @pytest.mark.parametrize("weight", [-1, "9", True, None])
 def test_invalid_traffic_split_weight_is_rejected(weight):
     split = [{"service": "loans", "weight": weight}]
-    plain = document(7, **{"traffic-split": split})
+    content = document(7, **{"traffic-split": split})
     with pytest.raises(SettingsError, match=r"traffic-split.0.weight"):
-        documents.read_document(json.dumps(plain).encode())
+        documents.read_document(json.dumps(content).encode())
 
 
 def test_worker_row_is_converted_to_a_listed_target():
