--- a/dunlinnotch/coordination/choosing/asking.py
+++ b/dunlinnotch/coordination/choosing/asking.py
@@ -148,7 +148,7 @@
         self._take_wishes(instance, status)
         if status.report is None or instance.replaced:
             return
-        instance.heard(status.report, self._loop.time())
+        instance.record_report(status.report, self._loop.time())
         queue = self._queues.get(instance.listed.service)
         if queue is not None:
             self._offer(queue, instance, None)
@@ -213,7 +213,7 @@
         now = self._loop.time()
         report = instance.report
         start = Start(
-            ahead=instance.ahead,
+            ahead=instance.queued_ahead,
             slots=max(1, instance.listed.slots if report is None else report.slots),
             slowness=1.0 if report is None else report.slowness,
             report_age=now - instance.reported_at,
@@ -232,7 +232,7 @@
         """Return the best of what is known, if the request may go there."""
         now = self._loop.time()
         order = self._chooser.order(self._instances.of(queue.service), now, exclude=tried)
-        order = [i for i in order if now >= i.aside_until] or order
+        order = [i for i in order if now >= i.ejected_until] or order
         if not order:
             return None
         best = min(order, key=lambda i: self._chooser.expected(i, now))
@@ -280,7 +280,7 @@
         """Yield the targets to ask: none just asked, none whose probes are used up."""
         now = self._loop.time()
         for instance in self._chooser.order(self._instances.of(queue.service), now, exclude=()):
-            if instance in queue.asking or now - instance.asked_at < _PAUSE_S:
+            if instance in queue.asking or now - instance.probed_at < _PAUSE_S:
                 continue
             if self._probes.has_left(instance.name):
                 yield instance
@@ -296,7 +296,7 @@
 
     async def _ask(self, queue: ServiceQueue, instance: Instance, path: str) -> None:
         """Ask one target; what it says is offered to those that wait."""
-        instance.asked_at = self._loop.time()
+        instance.probed_at = self._loop.time()
         patience = self._loop.call_later(_ASK_PATIENCE_S, self._overdue, queue, instance)
         try:
             async with asyncio.timeout(_ASK_LOST_S):
@@ -340,11 +340,11 @@
                     now_there=asked.instance,
                 )
             return False
-        instance.well = asked.well
+        instance.healthy = asked.well
         self._take_wishes(instance, status)
         # A target that tells no load: what this box has there is all that is known.
-        own = TargetReport(instance.own, 0, max(1, instance.listed.slots))
-        instance.heard(status.report or own, self._loop.time())
+        own = TargetReport(instance.in_flight, 0, max(1, instance.listed.slots))
+        instance.record_report(status.report or own, self._loop.time())
         return not instance.replaced
 
     def _take_wishes(self, instance: Instance, status: TargetStatus) -> None:
--- a/dunlinnotch/coordination/choosing/fresh.py
+++ b/dunlinnotch/coordination/choosing/fresh.py
@@ -59,10 +59,10 @@
     """
     report = instance.report
     if report is None or now - instance.reported_at > USEFUL_S:
-        return _UNKNOWN + instance.own
+        return _UNKNOWN + instance.in_flight
     rounds = 1.0 + max(0.0, excess(instance))
-    cold = _COLD_FACTOR if now < instance.cold_until else 1.0
-    ill = 1.0 if instance.well else _ILL_FACTOR
+    cold = _COLD_FACTOR if now < instance.slow_start_until else 1.0
+    ill = 1.0 if instance.healthy else _ILL_FACTOR
     away = _AWAY if place and instance.listed.place != place else 0.0
     return max(0.2, report.slowness) * slowed * rounds * cold * ill + away
 
@@ -77,12 +77,12 @@
 def fill(instance: Instance) -> float:
     """Return the share of a target's slots in use with one more request."""
     slots = 1 if instance.report is None else max(1, instance.report.slots)
-    return (instance.ahead + 1) / slots
+    return (instance.queued_ahead + 1) / slots
 
 
 def _is_out(instance: Instance, now: Seconds) -> bool:
     """Return whether a target rests or is set aside."""
-    return now < max(instance.rest_until, instance.aside_until)
+    return now < max(instance.backoff_until, instance.ejected_until)
 
 
 class FreshChooser:
@@ -115,15 +115,17 @@
         Those that rest are neither asked nor sent anything.
         """
         usable = [
-            i for i in instances if i.name not in exclude and not i.replaced and now >= i.rest_until
+            i
+            for i in instances
+            if i.name not in exclude and not i.replaced and now >= i.backoff_until
         ]
         return sorted(usable, key=lambda i: (self._tier(i, now), self._rng.random()))
 
     def _tier(self, instance: Instance, now: Seconds) -> int:
         away = instance.listed.place != self._place
-        if now < instance.aside_until:
+        if now < instance.ejected_until:
             return 5
-        if instance.lapsed_at is not None:
+        if instance.missing_since is not None:
             return 4
         heard = now - instance.reported_at < USEFUL_S
         if heard and expected_time(instance, now, slowed=self._slowed(instance)) > GOOD:
@@ -154,7 +156,7 @@
         return self._rng.random() < part
 
     def _slowed(self, instance: Instance) -> float:
-        if instance.ahead == 0:
+        if instance.queued_ahead == 0:
             return 1.0
         return self._times.slowed_by(instance.listed.service, fill(instance))
 
@@ -165,7 +167,7 @@
         over = instance.failures - _ASIDE_AFTER
         if over >= 0:
             shortest, longest = _ASIDE_S
-            instance.aside_until = now + min(longest, shortest * 2**over)
+            instance.ejected_until = now + min(longest, shortest * 2**over)
 
     def refused(self, instance: Instance, said: TargetStatus, now: Seconds) -> None:
         """Note that a target turned a request away, and what it said with that.
@@ -185,4 +187,4 @@
     def did_well(instance: Instance) -> None:
         """Note an answer that was as it should be."""
         instance.failures = 0
-        instance.aside_until = 0.0
+        instance.ejected_until = 0.0
--- a/dunlinnotch/coordination/requests/forward.py
+++ b/dunlinnotch/coordination/requests/forward.py
@@ -308,7 +308,7 @@
         if kind is None or kind.service_at(run.point) != pick.instance.listed.service:
             return False
         instance = pick.instance
-        if instance.replaced or self._loop.time() < instance.rest_until:
+        if instance.replaced or self._loop.time() < instance.backoff_until:
             return False
         return self._barred(run) is None
 
@@ -336,7 +336,7 @@
         run.tried.add(instance.name)
         run.sends += 1
         run.may_have_run = True
-        instance.own += 1
+        instance.in_flight += 1
         try:
             end = await self._targets.attempt(
                 instance.address,
@@ -354,7 +354,7 @@
                 trial.status = end.status
             return end
         finally:
-            instance.own -= 1
+            instance.in_flight -= 1
             trial.took = self._loop.time() - now
 
     def _hear(self, trial: Try, status: TargetStatus) -> None:
--- a/dunlinnotch/coordination/settings/beliefs.py
+++ b/dunlinnotch/coordination/settings/beliefs.py
@@ -169,7 +169,7 @@
         """Let go of targets that vanished and did not come back."""
         now = self._clock()
         for instance in list(self._instances.all()):
-            if instance.lapsed_at is not None and now - instance.lapsed_at > LAPSE_S:
+            if instance.missing_since is not None and now - instance.missing_since > LAPSE_S:
                 self._leave(instance.name, "lapsed", lost=instance.lost)
 
     def _read(self, key: str, value: bytes) -> ListedTarget | None:
@@ -229,7 +229,7 @@
         instance = self._instances.find(key)
         if instance is None:
             return
-        instance.lapsed_at = self._clock()
+        instance.missing_since = self._clock()
         instance.lost = lost
         event(_log, "target-lapsed", instance=key, target=instance.address, lost=lost)
 
--- a/dunlinnotch/state/instances.py
+++ b/dunlinnotch/state/instances.py
@@ -64,20 +64,20 @@
     """One target with what this box has seen of it."""
 
     listed: ListedTarget
-    cold_until: Seconds = 0.0
-    own: int = 0
+    slow_start_until: Seconds = 0.0
+    in_flight: int = 0
     sent_since_report: int = 0
     report: TargetReport | None = None
     reported_at: Seconds = -1e9
-    asked_at: Seconds = -1e9
+    probed_at: Seconds = -1e9
     failures: int = 0
-    aside_until: Seconds = 0.0
-    rest_until: Seconds = 0.0
+    ejected_until: Seconds = 0.0
+    backoff_until: Seconds = 0.0
     replaced: bool = False
-    lapsed_at: Seconds | None = None
+    missing_since: Seconds | None = None
     #: Whether the store lost its row, rather than somebody removed it.
     lost: bool = False
-    well: bool = True
+    healthy: bool = True
 
     @property
     def name(self) -> str:
@@ -95,13 +95,13 @@
         return self.listed.address
 
     @property
-    def ahead(self) -> int:
+    def queued_ahead(self) -> int:
         """Requests there, as far as this box knows: by its last report, and sent since."""
         report = self.report
-        known = self.own if report is None else report.running + report.waiting
+        known = self.in_flight if report is None else report.running + report.waiting
         return known + self.sent_since_report
 
-    def heard(self, report: TargetReport, now: Seconds) -> None:
+    def record_report(self, report: TargetReport, now: Seconds) -> None:
         """Take in what the target says of its load."""
         self.report = report
         self.reported_at = now
@@ -137,9 +137,9 @@
             self._begin(listed, now)
         else:
             known.listed = listed
-            known.lapsed_at = None
+            known.missing_since = None
             known.lost = False
-            known.cold_until = now + listed.cold_s
+            known.slow_start_until = now + listed.cold_s
         self._index()
         return True
 
@@ -180,21 +180,21 @@
         until : float
             Monotonic seconds; a rest granted before is not made shorter.
         """
-        instance.rest_until = max(instance.rest_until, until)
-        self._rests[instance.start] = instance.rest_until
+        instance.backoff_until = max(instance.backoff_until, until)
+        self._rests[instance.start] = instance.backoff_until
         _keep_newest(self._rests, _RESTS_KEPT)
 
     def rest_left(self, service: str, now: Seconds) -> Seconds:
         """Return for how long all targets of a service still rest; 0 if one does not."""
-        return max(0.0, min((i.rest_until for i in self.of(service)), default=0.0) - now)
+        return max(0.0, min((i.backoff_until for i in self.of(service)), default=0.0) - now)
 
     def _begin(self, listed: ListedTarget, now: Seconds) -> None:
         """Use a start of a target that is new here; it has nothing of the one before."""
         before = self._instances.get(listed.instance)
         if before is not None:
             before.replaced = True
-        begun = Instance(listed, cold_until=now + listed.cold_s)
-        begun.rest_until = self._rests.get(begun.start, 0.0)
+        begun = Instance(listed, slow_start_until=now + listed.cold_s)
+        begun.backoff_until = self._rests.get(begun.start, 0.0)
         self._instances[listed.instance] = begun
         self._ended.pop(listed.instance, None)
 
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -59,7 +59,7 @@
         for _ in range(times):
             # What was heard before is as good as forgotten.
             for instance in instances.all():
-                instance.reported_at = instance.asked_at = -1e9
+                instance.reported_at = instance.probed_at = -1e9
             picks.append(await seeker.choose("s", rank=0, tried=(), give_up=0.0, **limits))
         return [pick and (pick.instance.name, pick.why) for pick in picks], targets.asked
 
@@ -158,7 +158,7 @@
     """Return what is chosen for a request while the only target says that it is slow."""
     (instance,) = instances.of("s")
     # What was heard before is as good as forgotten.
-    instance.reported_at = instance.asked_at = -1e9
+    instance.reported_at = instance.probed_at = -1e9
     task = choose(wait=0.0)
     await turns()
     if targets.waiting:
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -49,7 +49,7 @@
     clock, instances, targets = listed(6)
     targets.take([TableRow(str(n), 9, None) for n in range(1, 6)])
     assert len(names(instances)) == 6
-    assert [i.name for i in instances.all() if i.lapsed_at is None] == ["6"]
+    assert [i.name for i in instances.all() if i.missing_since is None] == ["6"]
     targets.take([TableRow("1", 10, b"2")])
     clock.now += LAPSE_S + 0.1
     targets.expire()
@@ -74,7 +74,7 @@
     targets.take(lost)
     assert len(names(instances)) == 6
     targets.take([TableRow("1", 10, b"1")])
-    assert [i.name for i in instances.all() if i.lapsed_at is not None] == ["2"]
+    assert [i.name for i in instances.all() if i.missing_since is not None] == ["2"]
     clock.now += LAPSE_S + 0.1
     targets.expire()
     assert names(instances) == ["1", "3", "4", "5", "6"]
--- a/tests/test_fresh.py
+++ b/tests/test_fresh.py
@@ -17,7 +17,7 @@
 def target(name="i", *, place="hall-a", report=None, age=0.0):
     instance = Instance(ListedTarget(name, "s", place, "10.0.0.1:80", 6, False, 1, 0.0))
     if report is not None:
-        instance.heard(TargetReport(*report), NOW - age)
+        instance.record_report(TargetReport(*report), NOW - age)
     return instance
 
 
@@ -50,7 +50,7 @@
 
 def test_a_target_that_says_it_is_ill_is_used_only_if_no_other_is_better():
     ill = target(report=(0, 0, 6, 1.0))
-    ill.well = False
+    ill.healthy = False
     assert expected_time(ill, NOW) > GOOD
     assert expected_time(ill, NOW) < expected_time(target(report=(0, 0, 6, 7.0)), NOW)
 
@@ -74,7 +74,7 @@
     assert chooser.good(instance, NOW)
     chooser.failed(instance, NOW)
     assert not chooser.good(instance, NOW)
-    assert instance.aside_until <= NOW + 4.0
+    assert instance.ejected_until <= NOW + 4.0
     chooser.did_well(instance)
     assert chooser.good(instance, NOW)
 
@@ -95,4 +95,4 @@
     instance = target()
     for _ in range(2):
         chooser.refused(instance, said, NOW)
-    assert (instance.aside_until > NOW) is aside
+    assert (instance.ejected_until > NOW) is aside
--- a/tests/test_instances.py
+++ b/tests/test_instances.py
@@ -73,14 +73,14 @@
     instances = InstanceList()
     instances.take(listed(born=1000), 0.0)
     before = instances.find("i-1")
-    before.heard(TargetReport(3, 3, 3), 0.5)
-    before.failures, before.aside_until, before.own = 7, 99.0, 2
+    before.record_report(TargetReport(3, 3, 3), 0.5)
+    before.failures, before.ejected_until, before.in_flight = 7, 99.0, 2
     instances.take(listed(born=2000, sequence=0, cold_s=3.0), 1.0)
     now = instances.find("i-1")
     assert before.replaced
     assert not now.replaced
-    assert (now.report, now.failures, now.aside_until, now.own) == (None, 0, 0.0, 0)
-    assert now.cold_until == 4.0
+    assert (now.report, now.failures, now.ejected_until, now.in_flight) == (None, 0, 0.0, 0)
+    assert now.slow_start_until == 4.0
     assert now.start != before.start
 
 
@@ -144,8 +144,8 @@
     def a_start_rests_for_as_long_as_it_asked_whatever_becomes_of_its_row(self):
         found = self.instances.find("i-1") if hasattr(self, "instances") else None
         if found is not None:
-            assert found.rest_until == self.rests.get(found.listed.born, 0.0)
-            assert self.instances.rest_left("loans", 0.0) == found.rest_until
+            assert found.backoff_until == self.rests.get(found.listed.born, 0.0)
+            assert self.instances.rest_left("loans", 0.0) == found.backoff_until
 
     @invariant()
     def only_the_newest_start_that_does_not_leave_is_used(self):
@@ -169,7 +169,7 @@
     assert instances.rest_left("loans", 10.0) == 20.0
     instances.leave("i-1")
     instances.take(listed(born=1000, sequence=50), 11.0)
-    assert instances.find("i-1").rest_until == 30.0
+    assert instances.find("i-1").backoff_until == 30.0
     assert instances.rest_left("loans", 31.0) == 0.0
     instances.take(listed(born=2000, sequence=0), 12.0)
     assert instances.rest_left("loans", 13.0) == 0.0
--- a/tests/test_rest.py
+++ b/tests/test_rest.py
@@ -168,7 +168,7 @@
             await until(lambda: len(box.instances.of("loans")) == 2)
             while not tired.probes:
                 await send_for(box, 0.1)
-            await until(lambda: box.instances.find(tired.instance).rest_until)
+            await until(lambda: box.instances.find(tired.instance).backoff_until)
             await send_for(box, 0.3)
             assert (tired.probes, len(tired.arrivals)) == (1, 0)
 
--- a/tests/test_store_back.py
+++ b/tests/test_store_back.py
@@ -97,7 +97,7 @@
             world.store.come_back_from_copy(copied)
             await until(lambda: all(i.find(worker.instance).lost for i in known))
             world.store.put("servers", worker.instance, worker.row("loans", zone="hall-a"))
-            await until(lambda: all(i.find(worker.instance).lapsed_at is None for i in known))
+            await until(lambda: all(i.find(worker.instance).missing_since is None for i in known))
 
     run(test)
 
@@ -115,7 +115,7 @@
                 lambda: all(b.tables["servers"].epoch == world.store.era for b in world.boxes)
             )
             assert not any(i.find(left.instance) for i in known)
-            assert all(i.find(stays.instance).lapsed_at is None for i in known)
+            assert all(i.find(stays.instance).missing_since is None for i in known)
 
     run(test)
 
