--- a/benchmarks/goodput.py
+++ b/benchmarks/goodput.py
@@ -305,7 +305,7 @@
             where = PLACES[number % len(PLACES)]
             slots = self._model.slots
             listed = ListedTarget(target.name, SERVICE, where, address, slots, False, 1, 0.0)
-            instances.take(listed, 0.0)
+            instances.apply(listed, 0.0)
         probes = ProbeShare(_PROBES_PER_S, clock=clock)
         probes.boxes = BOXES
         times = WorkTimes()
--- a/dunlinnotch/coordination/choosing/asking.py
+++ b/dunlinnotch/coordination/choosing/asking.py
@@ -120,7 +120,7 @@
             The same for an end within its timeout; it counts where no target of the
             service has been good for a while.
         """
-        if all(i.name in tried for i in self._instances.of(service)):
+        if all(i.name in tried for i in self._instances.for_service(service)):
             tried = ()
         rest = self.rest_left(service)
         if rest and self._loop.time() + rest > give_up:
@@ -155,7 +155,7 @@
 
     def rest_left(self, service: str) -> Seconds:
         """Return for how long no target of a service wants anything; 0 if one does."""
-        return self._instances.rest_left(service, self._loop.time())
+        return self._instances.backoff_left(service, self._loop.time())
 
     def _queue(self, service: str) -> ServiceQueue:
         queue = self._queues.get(service)
@@ -169,7 +169,9 @@
     def _known_good(self, service: str, tried: Collection[str]) -> Pick | None:
         """Return a target that is good by a report of the last milliseconds."""
         now = self._loop.time()
-        for instance in self._chooser.order(self._instances.of(service), now, exclude=tried):
+        for instance in self._chooser.order(
+            self._instances.for_service(service), now, exclude=tried
+        ):
             if now - instance.reported_at < FRESH_S and self._chooser.good(instance, now):
                 return self._pick(instance, None, "fresh")
         return None
@@ -231,7 +233,7 @@
     ) -> Pick | None:
         """Return the best of what is known, if the request may go there."""
         now = self._loop.time()
-        order = self._chooser.order(self._instances.of(queue.service), now, exclude=tried)
+        order = self._chooser.order(self._instances.for_service(queue.service), now, exclude=tried)
         order = [i for i in order if now >= i.ejected_until] or order
         if not order:
             return None
@@ -279,7 +281,9 @@
     def _to_ask(self, queue: ServiceQueue) -> Iterator[Instance]:
         """Yield the targets to ask: none just asked, none whose probes are used up."""
         now = self._loop.time()
-        for instance in self._chooser.order(self._instances.of(queue.service), now, exclude=()):
+        for instance in self._chooser.order(
+            self._instances.for_service(queue.service), now, exclude=()
+        ):
             if instance in queue.asking or now - instance.probed_at < _PAUSE_S:
                 continue
             if self._probes.has_left(instance.name):
@@ -367,7 +371,7 @@
         # An idle target that turns requests away looks best of all by its load: without
         # this, the next request went to it after 0.3 s (median, 72 pairs of box and target).
         now = self._loop.time()
-        self._instances.rest(instance, now + rest)
+        self._instances.back_off(instance, now + rest)
         left = self.rest_left(instance.listed.service)
         if left:
             self._queue(instance.listed.service).refuse_before(now + left)
--- a/dunlinnotch/coordination/requests/forward.py
+++ b/dunlinnotch/coordination/requests/forward.py
@@ -313,7 +313,7 @@
         return self._barred(run) is None
 
     def _nobody(self, run: Run, service: str) -> Ending:
-        if not self._instances.of(service):
+        if not self._instances.for_service(service):
             detail = f"service {service!r} has no target"
             return Ending(Outcome.NOT_RUN, 503, Reason.NO_TARGET, detail)
         if self._seeker.rest_left(service):
@@ -432,7 +432,7 @@
     def _worth_repeating(self, run: Run, kind: RequestKind) -> bool:
         if not kind.repeatable or run.sends >= kind.attempts or not run.body.resendable:
             return False
-        others = [i for i in self._instances.of(run.service) if i.name not in run.tried]
+        others = [i for i in self._instances.for_service(run.service) if i.name not in run.tried]
         return bool(others)
 
     async def _choose(self, run: Run, kind: RequestKind, service: str) -> Pick | None:
--- a/dunlinnotch/coordination/settings/beliefs.py
+++ b/dunlinnotch/coordination/settings/beliefs.py
@@ -204,7 +204,7 @@
             self._refuse(listed.instance, "it does not tell when it started; others do")
             return
         known = self._instances.find(listed.instance)
-        if self._instances.take(listed, self._clock()):
+        if self._instances.apply(listed, self._clock()):
             event(
                 _log,
                 "target-leaving" if listed.leaving else "target-listed",
@@ -239,7 +239,7 @@
         services = {i.listed.service for i in found}
         for service in services:
             lost = sum(i.listed.service == service for i in found)
-            if lost > 2 and lost > _MANY * len(self._instances.of(service)):
+            if lost > 2 and lost > _MANY * len(self._instances.for_service(service)):
                 return True
         return False
 
--- a/dunlinnotch/state/instances.py
+++ b/dunlinnotch/state/instances.py
@@ -124,7 +124,7 @@
         self._rests: dict[str, Seconds] = {}
         self._by_service: dict[str, list[Instance]] = {}
 
-    def take(self, listed: ListedTarget, now: Seconds) -> bool:
+    def apply(self, listed: ListedTarget, now: Seconds) -> bool:
         """Take in one row of the list; return whether it changed anything."""
         known = self._instances.get(listed.instance)
         if listed.order < self._ended.get(listed.instance, (-1, -1)):
@@ -171,7 +171,7 @@
         """
         return self._drop(instance, next_word=False)
 
-    def rest(self, instance: Instance, until: Seconds) -> None:
+    def back_off(self, instance: Instance, until: Seconds) -> None:
         """Have a target rest until a moment, also if its row goes and comes back meanwhile.
 
         Parameters
@@ -184,9 +184,11 @@
         self._rests[instance.start] = instance.backoff_until
         _keep_newest(self._rests, _RESTS_KEPT)
 
-    def rest_left(self, service: str, now: Seconds) -> Seconds:
+    def backoff_left(self, service: str, now: Seconds) -> Seconds:
         """Return for how long all targets of a service still rest; 0 if one does not."""
-        return max(0.0, min((i.backoff_until for i in self.of(service)), default=0.0) - now)
+        return max(
+            0.0, min((i.backoff_until for i in self.for_service(service)), default=0.0) - now
+        )
 
     def _begin(self, listed: ListedTarget, now: Seconds) -> None:
         """Use a start of a target that is new here; it has nothing of the one before."""
@@ -217,7 +219,7 @@
         self._index()
         return True
 
-    def of(self, service: str) -> list[Instance]:
+    def for_service(self, service: str) -> list[Instance]:
         """Return the targets of a service."""
         return self._by_service.get(service, [])
 
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -348,8 +348,8 @@
         property(_forget_starts),
         "tests/test_instances.py",
     ),
-    Mutant("grant no rest", InstanceList, "rest", _grant_no_rest, REST),
-    Mutant("let all wait though all rest", InstanceList, "rest_left", _rest_is_no_reason, REST),
+    Mutant("grant no rest", InstanceList, "back_off", _grant_no_rest, REST),
+    Mutant("let all wait though all rest", InstanceList, "backoff_left", _rest_is_no_reason, REST),
     Mutant(
         "hear no target say it leaves", InstanceList, "leave_for_good", _hear_no_leaving, LEAVING
     ),
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -42,7 +42,7 @@
         instances = InstanceList()
         for place, name in names:
             listed = ListedTarget(name, "s", place, f"{name}:1", 3, False, 1, 0.0)
-            instances.take(listed, 0.0)
+            instances.apply(listed, 0.0)
         targets = Targets(slowness or {}, running)
         probes = ProbeShare(probes_per_s, clock=lambda: 100.0)
         rng = random.Random(1)
@@ -156,7 +156,7 @@
 
 async def answered_slowly(instances, targets, choose):
     """Return what is chosen for a request while the only target says that it is slow."""
-    (instance,) = instances.of("s")
+    (instance,) = instances.for_service("s")
     # What was heard before is as good as forgotten.
     instance.reported_at = instance.probed_at = -1e9
     task = choose(wait=0.0)
@@ -197,7 +197,7 @@
     async def bounded():
         instances = InstanceList()
         for place, name in names:
-            instances.take(ListedTarget(name, "s", place, f"{name}:1", 3, False, 1, 0.0), 0.0)
+            instances.apply(ListedTarget(name, "s", place, f"{name}:1", 3, False, 1, 0.0), 0.0)
         targets = SlowTargets()
         loop = asyncio.get_running_loop()
         seeker = TargetSeeker(
@@ -259,7 +259,7 @@
     async def act(seeker, instances, targets, choose):
         waiting = [choose() for _ in range(3)]
         await turns()
-        (instance,) = instances.of("s")
+        (instance,) = instances.for_service("s")
         # One of three slots is taken; a third one would be slow.
         seeker.heard(instance, TargetStatus(TargetReport(1, 0, 3)))
         await turns()
@@ -292,7 +292,7 @@
         targets.answer("t-0")
         first.cancel()
         await turns()
-        (instance,) = instances.of("s")
+        (instance,) = instances.for_service("s")
         assert first.cancelled()
         # Whoever comes next finds the target as free as before.
         assert second.done()
--- a/tests/test_crash_guard.py
+++ b/tests/test_crash_guard.py
@@ -131,7 +131,7 @@
         async with stream_world(workers=0) as world:
             box = world.boxes[0]
             worker = await world.add_worker(WorkerSettings(ends_under=lambda path: path == WORST))
-            await until(lambda: box.instances.of("loans"))
+            await until(lambda: box.instances.for_service("loans"))
             for _ in range(BAR_AT - 1):
                 assert (await call(box, WORST, "worst")).status == 502
                 before = worker.instance
--- a/tests/test_crashing.py
+++ b/tests/test_crashing.py
@@ -34,7 +34,7 @@
     for _ in range(TARGETS):
         settings = WorkerSettings(ends_under=lambda path: path.startswith("/read/worst"))
         await world.add_worker(settings)
-    await until(lambda: all(len(b.instances.of("loans")) == TARGETS for b in world.boxes))
+    await until(lambda: all(len(b.instances.for_service("loans")) == TARGETS for b in world.boxes))
     await until(lambda: all(b.routes.table.version == 2 for b in world.boxes))
 
 
@@ -105,7 +105,7 @@
             world.boxes.clear()
             box = await world.add_box()
             await world.add_box(seeds=(box.mesh.peer,))
-            await until(lambda: all(b.instances.of("loans") for b in world.boxes))
+            await until(lambda: all(b.instances.for_service("loans") for b in world.boxes))
             await ask_again(world, 8)
             assert lost(world) <= 3 + 3
 
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -94,7 +94,7 @@
         async with stream_world(workers=0) as world:
             for _ in range(3):
                 await world.add_worker()
-            await until(lambda: len(world.boxes[0].instances.of("loans")) == 3)
+            await until(lambda: len(world.boxes[0].instances.for_service("loans")) == 3)
             # Whichever targets are tried: the first spoils it, the second too.
             faults = [fault, fault]
             for worker in world.workers:
@@ -119,7 +119,7 @@
         async with stream_world(workers=0) as world:
             worker = await world.add_worker()
             box = world.boxes[0]
-            await until(lambda: box.instances.of("loans"))
+            await until(lambda: box.instances.for_service("loans"))
             # It ends under the request, so the repeat does not even reach it.
             worker.settings.ends_under = lambda path: True
             assert (await call(box, "/read/", "ran")).status == 502
@@ -133,7 +133,7 @@
         async with stream_world(workers=0) as world:
             first = await world.add_worker(WorkerSettings(faults=[WorkerFault.LOST]))
             box = world.boxes[0]
-            await until(lambda: box.instances.of("loans"))
+            await until(lambda: box.instances.for_service("loans"))
             assert (await call(box, "/lend/", "lost", method="POST", body=b"x")).status == 502
             assert not logged(caplog, "target-ended")
             first.settings.ends_under = lambda path: path.endswith("worst")
@@ -182,7 +182,7 @@
         async with stream_world() as world:
             await world.add_worker(WorkerSettings(slots=1, queue=0))
             box = world.boxes[0]
-            await until(lambda: len(box.instances.of("loans")) == 2)
+            await until(lambda: len(box.instances.for_service("loans")) == 2)
             full = world.workers[1]
             full.hold = asyncio.Event()
             full.settings.queue = -1  # refuses whatever it says of its load
@@ -241,7 +241,7 @@
         async with stream_world(workers=0) as world:
             worker = await world.add_worker(WorkerSettings(slots=1, queue=1, hangs_when_full=True))
             box = world.boxes[0]
-            await until(lambda: box.instances.of("loans"))
+            await until(lambda: box.instances.for_service("loans"))
             worker.hold = asyncio.Event()
             held = [asyncio.create_task(call(box, "/read/", "held"))]
             await until(lambda: len(worker.arrivals) == 1)
@@ -262,7 +262,7 @@
         async with stream_world(workers=0) as world:
             worker = await world.add_worker(WorkerSettings(work_s=0.05))
             box = world.boxes[0]
-            await until(lambda: box.instances.of("loans"))
+            await until(lambda: box.instances.for_service("loans"))
             assert (await call(box, "/lend/", "first", method="POST", body=b"x")).status == 200
             usual = box.times.usual("lend")
             worker.settings.work_s = 0.0
@@ -280,7 +280,7 @@
         async with stream_world(workers=0) as world:
             worker = await world.add_worker(WorkerSettings(work_s=0.05))
             box = world.boxes[0]
-            await until(lambda: box.instances.of("loans"))
+            await until(lambda: box.instances.for_service("loans"))
             for number in range(3):
                 assert (
                     await call(box, "/lend/", f"r{number}", method="POST", body=b"x")
@@ -305,19 +305,19 @@
             other = await world.add_worker(service="other")
             world.store.put("op", "config", document(4, services=("other", "loans")))
             await until(lambda: box.routes.table.version == 4)
-            await until(lambda: box.instances.of("other"))
+            await until(lambda: box.instances.for_service("other"))
             assert (await call(box, "/read/", "moved")).status == 200
             assert [r.request_id for r in other.ran] == ["moved"]
             world.store.put(
                 "servers", other.instance, other.row("other", zone="hall-a", state="draining")
             )
-            await until(lambda: not box.instances.of("other"))
+            await until(lambda: not box.instances.for_service("other"))
             assert (await call(box, "/read/", "none")).status == 503
             # An older word than the one that said so does not bring it back.
             world.store.put("servers", other.instance, other.row("other", zone="hall-a"))
             world.store.put("servers", "i-new", other.row("loans", zone="hall-a", sequence=9))
             await until(lambda: box.instances.find("i-new"))
-            assert not box.instances.of("other")
+            assert not box.instances.for_service("other")
 
     run(test)
 
@@ -369,7 +369,7 @@
             held = asyncio.create_task(call(box, "/lend/", "held", method="POST", body=b"x"))
             await until(lambda: world.ran == ["held"])
             world.store.put("servers", worker.instance, b"bad")
-            await until(lambda: not box.instances.of("loans"))
+            await until(lambda: not box.instances.for_service("loans"))
             worker.hold.set()
             assert (await held).status == 200
 
@@ -383,13 +383,17 @@
             box = world.boxes[0]
             row = worker.row("loans", zone="hall-a", sequence=9)
             world.store.put("servers", worker.instance, {**row, "born": 1000})
-            await until(lambda: [i.listed.born for i in box.instances.of("loans")] == [1000])
+            await until(
+                lambda: [i.listed.born for i in box.instances.for_service("loans")] == [1000]
+            )
             leaving = worker.row("loans", zone="hall-a", sequence=10, state="draining")
             world.store.put("servers", worker.instance, {**leaving, "born": 1000})
-            await until(lambda: not box.instances.of("loans"))
+            await until(lambda: not box.instances.for_service("loans"))
             again = worker.row("loans", zone="hall-a", sequence=0)
             world.store.put("servers", worker.instance, {**again, "born": 2000})
-            await until(lambda: [i.listed.born for i in box.instances.of("loans")] == [2000])
+            await until(
+                lambda: [i.listed.born for i in box.instances.for_service("loans")] == [2000]
+            )
             assert (await call(box, "/read/x", "x")).status == 200
 
     run(test)
@@ -430,7 +434,7 @@
             world.store.remove("servers", world.workers[0].instance)
             world.store.forget_history()
             await until(lambda: box.routes.table.version == 2)
-            await until(lambda: not box.instances.of("loans"))
+            await until(lambda: not box.instances.for_service("loans"))
 
     run(test)
 
@@ -531,7 +535,7 @@
             caplog.set_level("INFO")
             world.store.put("op", "config", document(2, **{"max-attempts": 1}))
             await world.add_worker(WorkerSettings(turns_away=lambda: True, rest="2.5"))
-            await until(lambda: world.boxes[0].instances.of("loans"))
+            await until(lambda: world.boxes[0].instances.for_service("loans"))
             await until(lambda: world.boxes[0].routes.table.version == 2)
             await call(world.boxes[0], "/read/a", "one")
             (line,) = logged(caplog, "route")
--- a/tests/test_leaving_words.py
+++ b/tests/test_leaving_words.py
@@ -28,7 +28,7 @@
             box = world.boxes[0]
             if not probes:
                 box.seeker._probe_path = lambda service: ""
-            await until(lambda: len(box.instances.of("loans")) == 2)
+            await until(lambda: len(box.instances.for_service("loans")) == 2)
             leaving = world.workers[0]
             leaving.settings.leaving = True
             number = 0
--- a/tests/test_rest.py
+++ b/tests/test_rest.py
@@ -44,7 +44,7 @@
     """Add a worker to one other, and return it once it has asked the box for 30 s of rest."""
     box = world.boxes[0]
     tired = await world.add_worker(WorkerSettings(turns_away=lambda: True, rest="30"))
-    await until(lambda: len(box.instances.of("loans")) == 2)
+    await until(lambda: len(box.instances.for_service("loans")) == 2)
     while not turned_away(tired):
         await send_for(box, 0.1)
     return tired
@@ -67,7 +67,7 @@
     async def test():
         async with stream_world(workers=2) as world:
             tired = await world.add_worker(WorkerSettings(turns_away=lambda: True, rest="1.5"))
-            await until(lambda: len(world.boxes[0].instances.of("loans")) == 3)
+            await until(lambda: len(world.boxes[0].instances.for_service("loans")) == 3)
             answers = await send_for(world.boxes[0], 2 * REST_S)
             assert {answer.status for answer in answers} == {200}
             assert in_rest(tired) <= MOST_IN_REST
@@ -81,7 +81,7 @@
     async def test():
         async with stream_world(workers=1) as world:
             tired = await world.add_worker(WorkerSettings(turns_away=lambda: True, rest="1.5"))
-            await until(lambda: len(world.boxes[0].instances.of("loans")) == 2)
+            await until(lambda: len(world.boxes[0].instances.for_service("loans")) == 2)
             await asyncio.gather(*(send_for(world.boxes[0], REST_S / 2) for _ in range(4)))
             await until(lambda: turned_away(tired))
             await until(lambda: not any(q.asking for q in world.boxes[0].seeker._queues.values()))
@@ -100,7 +100,7 @@
         async with stream_world(workers=0) as world:
             for rest in ("30", "20.5"):
                 await world.add_worker(WorkerSettings(turns_away=lambda: True, rest=rest))
-            await until(lambda: len(world.boxes[0].instances.of("loans")) == 2)
+            await until(lambda: len(world.boxes[0].instances.for_service("loans")) == 2)
             # The first learns that both want rest; the others need not ask.
             await call(world.boxes[0], "/read/a", "first")
             monkeypatch.setattr(TargetSeeker, "_wait", never)
@@ -118,10 +118,10 @@
             box = world.boxes[0]
             tired = await add_tired(world)
             world.store.remove("servers", tired.instance)
-            await until(lambda: len(box.instances.of("loans")) == 1)
+            await until(lambda: len(box.instances.for_service("loans")) == 1)
             row = tired.row("loans", zone="hall-a", sequence=9)
             world.store.put("servers", tired.instance, row)
-            await until(lambda: len(box.instances.of("loans")) == 2)
+            await until(lambda: len(box.instances.for_service("loans")) == 2)
             await send_for(box, 2 * SLACK_S)
             assert in_rest(tired, rest=30) <= MOST_IN_REST
 
@@ -151,7 +151,7 @@
             for _ in range(3):
                 await world.add_worker(WorkerSettings(turns_away=lambda: True, rest="30"))
             box = world.boxes[0]
-            await until(lambda: len(box.instances.of("loans")) == 3)
+            await until(lambda: len(box.instances.for_service("loans")) == 3)
             await until(lambda: box.routes.table.version == 2)
             answer = await call(box, path, "one", method="POST", body=b"x")
             assert answer.status == 503
@@ -165,7 +165,7 @@
         async with stream_world(workers=1) as world:
             box = world.boxes[0]
             tired = await world.add_worker(WorkerSettings(refuses_probes=True, rest="30"))
-            await until(lambda: len(box.instances.of("loans")) == 2)
+            await until(lambda: len(box.instances.for_service("loans")) == 2)
             while not tired.probes:
                 await send_for(box, 0.1)
             await until(lambda: box.instances.find(tired.instance).backoff_until)
@@ -179,7 +179,7 @@
     async def test():
         async with stream_world(workers=2) as world:
             refuses = await world.add_worker(WorkerSettings(turns_away=lambda: True))
-            await until(lambda: len(world.boxes[0].instances.of("loans")) == 3)
+            await until(lambda: len(world.boxes[0].instances.for_service("loans")) == 3)
             answers = await send_for(world.boxes[0], 2.0)
             assert {answer.status for answer in answers} == {200}
             gaps = [b - a for a, b in itertools.pairwise(turned_away(refuses))]
--- a/tests/test_users_contract.py
+++ b/tests/test_users_contract.py
@@ -55,7 +55,9 @@
             split = [{"service": "loans", "weight": 3}, {"service": "other", "weight": 1}]
             plain = document(2, services=("loans", "other"), **{"traffic-split": split})
             world.store.put("op", "config", plain)
-            await until(lambda: box.routes.table.version == 2 and box.instances.of("other"))
+            await until(
+                lambda: box.routes.table.version == 2 and box.instances.for_service("other")
+            )
             for number in range(80):
                 await call(box, "/read/", f"s{number}")
             assert 18 <= len(other.ran) <= 22
--- a/tests/test_wake.py
+++ b/tests/test_wake.py
@@ -86,7 +86,7 @@
     async def test():
         async with stream_world(boxes=2, workers=2) as world:
             box = world.boxes[0]
-            await until(lambda: len(box.instances.of("loans")) == 2)
+            await until(lambda: len(box.instances.for_service("loans")) == 2)
             leaving, staying = world.workers
             # Nobody tells the box anything before it is asked.
             assert max(box.mesh.age(table) for table in box.tables.values()) < STALE_S
@@ -99,7 +99,7 @@
             assert "retry-after" in answer.headers
             assert world.ran == []
             await until(lambda: box.ready)
-            await until(lambda: len(box.instances.of("loans")) == 1)
+            await until(lambda: len(box.instances.for_service("loans")) == 1)
             assert (await call(box, "/read/a", "later")).status == 200
             assert [run.request_id for run in staying.ran] == ["later"]
 
