--- a/dunlinnotch/coordination/choosing/asking.py
+++ b/dunlinnotch/coordination/choosing/asking.py
@@ -217,7 +217,7 @@
         start = Start(
             ahead=instance.queued_ahead,
             slots=max(1, instance.listed.slots if report is None else report.slots),
-            slowness=1.0 if report is None else report.slowness,
+            slowness=1.0 if report is None else report.latency_ratio,
             report_age=now - instance.reported_at,
         )
         pick = Pick(instance, asked, why, self._chooser.expected(instance, now), start)
@@ -353,8 +353,8 @@
 
     def _take_wishes(self, instance: Instance, status: TargetStatus) -> None:
         """Keep what a target wants: no work for a while, or none at all."""
-        if status.rest:
-            self._take_rest(instance, status.rest)
+        if status.backoff:
+            self._take_rest(instance, status.backoff)
         if status.leaving and self._instances.leave_for_good(instance.name):
             event(
                 self._log,
--- a/dunlinnotch/coordination/choosing/fresh.py
+++ b/dunlinnotch/coordination/choosing/fresh.py
@@ -64,7 +64,7 @@
     cold = _COLD_FACTOR if now < instance.slow_start_until else 1.0
     ill = 1.0 if instance.healthy else _ILL_FACTOR
     away = _AWAY if place and instance.listed.place != place else 0.0
-    return max(0.2, report.slowness) * slowed * rounds * cold * ill + away
+    return max(0.2, report.latency_ratio) * slowed * rounds * cold * ill + away
 
 
 def excess(instance: Instance) -> float:
@@ -180,7 +180,7 @@
         387 to 52 of 11,900 (one day of 17 boxes each).
         """
         report = said.report
-        if report is not None and report.running < report.slots and not said.rest:
+        if report is not None and report.running < report.slots and not said.backoff:
             self.failed(instance, now)
 
     @staticmethod
--- a/dunlinnotch/coordination/requests/run.py
+++ b/dunlinnotch/coordination/requests/run.py
@@ -81,7 +81,7 @@
             "took_ms": round(self.took * 1000, 1),
             "end": self.end,
             "status": self.status,
-            "rest_s": self.said.rest,
+            "rest_s": self.said.backoff,
         }
 
 
--- a/dunlinnotch/state/target_status.py
+++ b/dunlinnotch/state/target_status.py
@@ -18,14 +18,14 @@
     running, waiting, slots : int
         Requests that it works on, requests that wait there, and how many it
         works on at once.
-    slowness : float, default 1.0
+    latency_ratio : float, default 1.0
         How long work takes there now; 1 is as usual.
     """
 
     running: int
     waiting: int
     slots: int
-    slowness: float = 1.0
+    latency_ratio: float = 1.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,12 +36,12 @@
     ----------
     report : TargetReport, optional
         Its load, if it tells any.
-    rest : float, default 0.0
+    backoff : float, default 0.0
         Seconds for which it wants nothing more from this box.
     leaving : bool, default False
         Whether it is about to end and wants no new work.
     """
 
     report: TargetReport | None = None
-    rest: Seconds = 0.0
+    backoff: Seconds = 0.0
     leaving: bool = False
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -316,8 +316,8 @@
 
 # -- targets that rest
 
-REST = TargetStatus(TargetReport(0, 0, 3), rest=30.0)
-SHORT_REST = TargetStatus(TargetReport(0, 0, 3), rest=0.05)
+REST = TargetStatus(TargetReport(0, 0, 3), backoff=30.0)
+SHORT_REST = TargetStatus(TargetReport(0, 0, 3), backoff=0.05)
 
 
 def test_a_target_that_asks_for_rest_is_not_handed_to_those_that_wait():
--- a/tests/test_fresh.py
+++ b/tests/test_fresh.py
@@ -86,7 +86,7 @@
         (TargetStatus(TargetReport(5, 0, 6)), True),
         (TargetStatus(TargetReport(6, 0, 6)), False),
         (TargetStatus(TargetReport(6, 9, 6)), False),
-        (TargetStatus(TargetReport(0, 0, 6), rest=1.0), False),
+        (TargetStatus(TargetReport(0, 0, 6), backoff=1.0), False),
         (TargetStatus(), False),
     ],
 )
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -242,7 +242,7 @@
     if report is None:
         assert found is None
     else:
-        assert (found.running, found.waiting, found.slots, found.slowness) == report
+        assert (found.running, found.waiting, found.slots, found.latency_ratio) == report
 
 
 @pytest.mark.parametrize(
@@ -264,7 +264,7 @@
 )
 def test_rest_is_read_where_a_request_is_turned_away(status, stated, rest):
     headers = () if stated is None else (Header("Retry-After", stated),)
-    assert WorkerDialect().status(AnswerHead(status, "", headers, 0)).rest == rest
+    assert WorkerDialect().status(AnswerHead(status, "", headers, 0)).backoff == rest
 
 
 # -- the store
