--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -27,7 +27,7 @@
 from dunlinnotch.protocol.peers import LinkState, Sync
 from dunlinnotch.state.boxes import BoxRow
 from dunlinnotch.state.heads import AnswerHead
-from dunlinnotch.state.ledger import KeptAnswer, OnceLedger
+from dunlinnotch.state.ledger import IdempotencyLedger, KeptAnswer
 from dunlinnotch.state.schema import RunState
 from dunlinnotch.state.targets import TargetRecord
 from dunlinnotch.state.tree import Change, Edit, SettingsTree
@@ -250,8 +250,8 @@
     sizes = (1000, 5000, 20000)
     head = AnswerHead(200, "OK", (), 100)
 
-    def fill(count: int) -> OnceLedger:
-        ledger = OnceLedger(clock=lambda: 1.0)
+    def fill(count: int) -> IdempotencyLedger:
+        ledger = IdempotencyLedger(clock=lambda: 1.0)
         for number in range(count):
             key = f"holdings/loan/box-00001~1796205229814327432~573829~{number:032}"
             entry = ledger.claim(key, minted=1.0, window=600.0).entry
--- a/dunlinnotch/__init__.py
+++ b/dunlinnotch/__init__.py
@@ -27,7 +27,7 @@
         SettingsHolder,
     )
     from dunlinnotch.protocol.outcome import CallResult, EditResult, EditStatus, Outcome, Reason
-    from dunlinnotch.state.ledger import OnceLedger
+    from dunlinnotch.state.ledger import IdempotencyLedger
     from dunlinnotch.state.targets import TargetRecord
     from dunlinnotch.state.tree import Change, Edit, SettingsTree
 
@@ -42,7 +42,7 @@
     "EditStatus",
     "Membership",
     "OnceGuard",
-    "OnceLedger",
+    "IdempotencyLedger",
     "Outcome",
     "ProbeBudget",
     "Reason",
@@ -71,7 +71,7 @@
     "EditStatus": "dunlinnotch.protocol.outcome",
     "Membership": "dunlinnotch.coordination.membership.rows",
     "OnceGuard": "dunlinnotch.coordination.requests.once",
-    "OnceLedger": "dunlinnotch.state.ledger",
+    "IdempotencyLedger": "dunlinnotch.state.ledger",
     "Outcome": "dunlinnotch.protocol.outcome",
     "ProbeBudget": "dunlinnotch.coordination.budgets.probes",
     "Reason": "dunlinnotch.protocol.outcome",
--- a/dunlinnotch/coordination/core.py
+++ b/dunlinnotch/coordination/core.py
@@ -23,7 +23,7 @@
 from dunlinnotch.coordination.settings.gate import WorkGate
 from dunlinnotch.coordination.settings.tree import SettingsEditor, SettingsFollower, SettingsHolder
 from dunlinnotch.protocol.operator import DrainPhase
-from dunlinnotch.state.ledger import OnceLedger
+from dunlinnotch.state.ledger import IdempotencyLedger
 from dunlinnotch.state.schema import RunState, Settings
 
 if TYPE_CHECKING:
@@ -138,7 +138,7 @@
         )
         self.gate = WorkGate(self.membership, self.holder, clock=clock)
         self.steering = Steering(self.membership, rng=rng)
-        self.ledger = OnceLedger(clock=clock)
+        self.ledger = IdempotencyLedger(clock=clock)
         self.seat = SeatHolder(
             platform,
             box=self.name,
--- a/dunlinnotch/coordination/requests/once.py
+++ b/dunlinnotch/coordination/requests/once.py
@@ -8,7 +8,7 @@
 from dunlinnotch.protocol.answers import parse_once_key
 from dunlinnotch.protocol.attempt import CallerGoneError
 from dunlinnotch.protocol.outcome import CallResult, Outcome, Reason
-from dunlinnotch.state.ledger import Claim, ClaimStatus, KeptAnswer, KeyState, OnceLedger
+from dunlinnotch.state.ledger import Claim, ClaimStatus, IdempotencyLedger, KeptAnswer, KeyState
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -33,13 +33,15 @@
 
     Parameters
     ----------
-    ledger : OnceLedger
+    ledger : IdempotencyLedger
     box : str
     incarnation : int
     clock : callable
     """
 
-    def __init__(self, ledger: OnceLedger, *, box: str, incarnation: int, clock: Clock) -> None:
+    def __init__(
+        self, ledger: IdempotencyLedger, *, box: str, incarnation: int, clock: Clock
+    ) -> None:
         self._ledger = ledger
         self._box = box
         self._incarnation = incarnation
--- a/dunlinnotch/state/ledger.py
+++ b/dunlinnotch/state/ledger.py
@@ -81,7 +81,7 @@
     entry: KeyEntry | None = None
 
 
-class OnceLedger:
+class IdempotencyLedger:
     """Let each once-key run at most once in this process.
 
     Parameters
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -44,7 +44,7 @@
 from dunlinnotch.protocol.relay import Verdict
 from dunlinnotch.state.crashes import CrashRecord
 from dunlinnotch.state.instances import InstanceList, ListedTarget
-from dunlinnotch.state.ledger import Claim, ClaimStatus, KeyEntry, OnceLedger
+from dunlinnotch.state.ledger import Claim, ClaimStatus, IdempotencyLedger, KeyEntry
 from dunlinnotch.state.table_replica import TableReplica
 from dunlinnotch.state.targets import TargetRecord
 from dunlinnotch.state.tree import SettingsTree
@@ -449,7 +449,7 @@
     Mutant("skip the expiry of a lease", seats.SeatHolder, "held", _held_for_ever),
     Mutant("take a seat before its lease lapsed", seats.SeatHolder, "_free", _always_free),
     Mutant("ignore the share of the budget", probes, "probes_per_second", _whole_budget),
-    Mutant("forget once-keys", OnceLedger, "claim", _claim_always),
+    Mutant("forget once-keys", IdempotencyLedger, "claim", _claim_always),
     Mutant(
         "run a key of another box",
         once,
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -8,7 +8,7 @@
 
 from dunlinnotch.protocol.outcome import Outcome
 from dunlinnotch.state.heads import AnswerHead
-from dunlinnotch.state.ledger import ClaimStatus, KeptAnswer, KeyState, OnceLedger
+from dunlinnotch.state.ledger import ClaimStatus, IdempotencyLedger, KeptAnswer, KeyState
 from tests import FakeClock
 from tests.matrix import setup
 from tests.world import Request, World
@@ -108,7 +108,7 @@
 
 
 def test_twin_that_comes_while_the_first_runs_waits_for_its_answer():
-    ledger = OnceLedger(clock=FakeClock())
+    ledger = IdempotencyLedger(clock=FakeClock())
     first = ledger.claim("k", minted=990.0, window=60.0)
     twin = ledger.claim("k", minted=990.0, window=60.0)
     assert (first.status, twin.status) == (ClaimStatus.RUN, ClaimStatus.KNOWN)
@@ -120,7 +120,7 @@
 
 def test_key_is_forgotten_only_after_it_is_refused():
     clock = FakeClock()
-    ledger = OnceLedger(clock=clock)
+    ledger = IdempotencyLedger(clock=clock)
     ledger.unknown(ledger.claim("k", minted=clock(), window=60.0).entry)
     clock.advance(59.0)
     assert ledger.claim("k", minted=1000.0, window=60.0).status is ClaimStatus.KNOWN
@@ -131,7 +131,7 @@
 
 def test_full_ledger_refuses_new_keys_and_forgets_no_old_one():
     clock = FakeClock()
-    ledger = OnceLedger(clock=clock, keys_max=2)
+    ledger = IdempotencyLedger(clock=clock, keys_max=2)
     for key in ("a", "b"):
         ledger.unknown(ledger.claim(key, minted=clock(), window=60.0).entry)
     assert ledger.claim("c", minted=clock(), window=60.0).status is ClaimStatus.FULL
@@ -140,5 +140,5 @@
 
 def test_key_from_the_future_of_this_process_is_not_its_own():
     clock = FakeClock()
-    ledger = OnceLedger(clock=clock)
+    ledger = IdempotencyLedger(clock=clock)
     assert ledger.claim("k", minted=clock() + 1, window=60.0).status is ClaimStatus.EXPIRED
