--- a/dunlinnotch/coordination/membership/crash_news.py
+++ b/dunlinnotch/coordination/membership/crash_news.py
@@ -25,7 +25,7 @@
     unpack_crashes,
 )
 from dunlinnotch.protocol.store import RowsChange
-from dunlinnotch.state.crashes import BAR_AT, KEEP_S
+from dunlinnotch.state.crashes import QUARANTINE_THRESHOLD, RETENTION_S
 
 if TYPE_CHECKING:
     import random
@@ -134,13 +134,13 @@
             self._now_known()
             return
         last = self._told_all_at.get(word.name, -math.inf)
-        if self._evidence.settled and self._evidence.now - last > _REPAIR_S:
+        if self._evidence.conclusive and self._evidence.now - last > _REPAIR_S:
             self._told_all_at[word.name] = self._evidence.now
             self._send(self._settled(), [word.peer])
 
     def _settled(self) -> list[SeenCrashes]:
         now = self._evidence.now
-        return [as_ages(evidence, now) for evidence in self._evidence.settled]
+        return [as_ages(evidence, now) for evidence in self._evidence.conclusive]
 
     def _changed(self, new: Sequence[CrashRecord], *, keeps: bool) -> None:
         """Log what is new, pass it on, and have the bars among it kept in the store.
@@ -151,7 +151,7 @@
         target end, so that none of them saw the bar, and the one that did may be lost.
         """
         for evidence in new:
-            if keeps and evidence.in_turn >= BAR_AT:
+            if keeps and evidence.consecutive_crashes >= QUARANTINE_THRESHOLD:
                 self._to_keep.add(evidence.request)
             event(
                 _log,
@@ -173,7 +173,7 @@
         before, self.known = self.known, True
         self._publish()
         if not before:
-            event(_log, "evidence-known", requests=len(self._evidence.settled))
+            event(_log, "evidence-known", requests=len(self._evidence.conclusive))
             self._on_known()
 
     # -- to and from the store
@@ -229,7 +229,11 @@
             self._kept_in_era = era if self.known else None
         elif era > self._kept_in_era and self._mesh.is_first():
             self._kept_in_era = era
-            barred = [e.request for e in self._evidence.settled if e.in_turn >= BAR_AT]
+            barred = [
+                e.request
+                for e in self._evidence.conclusive
+                if e.consecutive_crashes >= QUARANTINE_THRESHOLD
+            ]
             self._to_keep.update(barred)
 
     async def _keep(self, request: str) -> None:
@@ -238,7 +242,11 @@
         self._take_rows(read)
         own = self._evidence.find(request)
         kept = self._kept(read)
-        if own is None or own.in_turn < BAR_AT or _covers(kept.get(request), own):
+        if (
+            own is None
+            or own.consecutive_crashes < QUARANTINE_THRESHOLD
+            or _covers(kept.get(request), own)
+        ):
             self._to_keep.discard(request)
             return
         versions = {row.key: row.version for row in read.rows}
@@ -254,12 +262,16 @@
 
     @property
     def _oldest(self) -> Seconds:
-        return self._evidence.now - KEEP_S
+        return self._evidence.now - RETENTION_S
 
 
 def _covers(kept: CrashRecord | None, own: CrashRecord) -> bool:
     """Return whether what is kept bars a request for as long as what this box holds does."""
-    return kept is not None and kept.answers == own.answers and kept.in_turn >= own.in_turn
+    return (
+        kept is not None
+        and kept.answers == own.answers
+        and kept.consecutive_crashes >= own.consecutive_crashes
+    )
 
 
 def _by_store(evidence: CrashRecord, read: RowsRead, now: Seconds) -> SeenCrashes:
--- a/dunlinnotch/coordination/requests/crash_guard.py
+++ b/dunlinnotch/coordination/requests/crash_guard.py
@@ -64,7 +64,7 @@
         if not suspect.ended:
             return max(self._evidence.quarantine_left(key) for key in suspect.fingerprint)
         now = self._evidence.now
-        known = [self._evidence.with_ended(key, suspect.ended) for key in suspect.fingerprint]
+        known = [self._evidence.with_crashes(key, suspect.ended) for key in suspect.fingerprint]
         return max(evidence.quarantine_left(now) for evidence in known)
 
     async def look(
@@ -117,5 +117,5 @@
         self, key: str, ended: Mapping[str, ServingSpan], *, answered: bool
     ) -> CrashRecord | None:
         if answered:
-            return self._evidence.note_answered(key)
-        return self._evidence.note_ended(key, ended) if ended else None
+            return self._evidence.record_answer(key)
+        return self._evidence.record_crashes(key, ended) if ended else None
--- a/dunlinnotch/state/crashes.py
+++ b/dunlinnotch/state/crashes.py
@@ -15,24 +15,24 @@
 
 #: A request that ended so many targets, one after the other, is sent to no other: fewer
 #: end by chance under requests that only were at the same targets.
-BAR_AT = 3
+QUARANTINE_THRESHOLD = 3
 #: How long a request is barred after its third target, and at most, in seconds; each
 #: further target doubles it.  Targets may have been mended meanwhile, so it is tried again.
-BAR_FIRST_S = 120.0
-BAR_MOST_S = 600.0
+MIN_QUARANTINE_S = 120.0
+MAX_QUARANTINE_S = 600.0
 #: What was seen counts for so long, in seconds: longer than any bar.
-KEEP_S = 1800.0
+RETENTION_S = 1800.0
 #: Requests remembered that are barred, or were answered after targets had ended.
-SETTLED_MOST = 256
+MAX_CONCLUSIVE_RECORDS = 256
 #: Other requests remembered: twice as many are let grow before the oldest are dropped.
-_OPEN_MOST = 256
-_SWEEP_AT = SETTLED_MOST + 2 * _OPEN_MOST
+_MAX_OTHER_RECORDS = 256
+_SWEEP_AT = MAX_CONCLUSIVE_RECORDS + 2 * _MAX_OTHER_RECORDS
 #: Time between two sweeps, in seconds.
 _SWEEP_S = 1.0
 #: Times told between boxes are rounded to this, in seconds, each way.
 _ROUNDING_S = 0.002
 #: Targets remembered for one request: more than the longest bar needs.
-TARGETS_MOST = 16
+MAX_TARGETS_PER_REQUEST = 16
 
 
 class ServingSpan(NamedTuple):
@@ -73,7 +73,7 @@
         return max((self.answered_at, *(span.ended for span in self.targets.values())))
 
     @property
-    def in_turn(self) -> int:
+    def consecutive_crashes(self) -> int:
         """How many targets ended one after the other.
 
         Notes
@@ -90,20 +90,20 @@
     @property
     def quarantined_until(self) -> Seconds:
         """Until when the request is to be sent to no target; -inf if it may be sent."""
-        beyond = self.in_turn - BAR_AT
+        beyond = self.consecutive_crashes - QUARANTINE_THRESHOLD
         if beyond < 0:
             return -math.inf
         last = max(span.ended for span in self.targets.values())
-        return last + min(BAR_MOST_S, BAR_FIRST_S * float(2**beyond))
+        return last + min(MAX_QUARANTINE_S, MIN_QUARANTINE_S * float(2**beyond))
 
     def quarantine_left(self, now: Seconds) -> Seconds:
         """Return how long the request is to be sent to no target; 0 if it may be sent."""
         return max(0.0, self.quarantined_until - now)
 
     @property
-    def settled(self) -> bool:
+    def is_conclusive(self) -> bool:
         """Whether it decides something: a request is barred, or it was answered."""
-        return self.answers > 0 or self.in_turn >= BAR_AT
+        return self.answers > 0 or self.consecutive_crashes >= QUARANTINE_THRESHOLD
 
     @property
     def digest(self) -> int:
@@ -121,7 +121,7 @@
             return True
         before = set(self.targets)
         union = {**other.targets, **self.targets}
-        youngest = sorted(union, key=lambda target: union[target].ended)[-TARGETS_MOST:]
+        youngest = sorted(union, key=lambda target: union[target].ended)[-MAX_TARGETS_PER_REQUEST:]
         self.targets = {target: union[target] for target in youngest}
         return set(youngest) != before
 
@@ -163,10 +163,10 @@
         return self._clock()
 
     @property
-    def settled(self) -> list[CrashRecord]:
+    def conclusive(self) -> list[CrashRecord]:
         """The evidence that bars a request, or takes back what others may hold."""
         now = self._clock()
-        return [e for e in self._seen.values() if e.settled and e.last_at > now - KEEP_S]
+        return [e for e in self._seen.values() if e.is_conclusive and e.last_at > now - RETENTION_S]
 
     @property
     def quarantined(self) -> int:
@@ -178,7 +178,7 @@
     def digest(self) -> int:
         """A number that is equal where two boxes bar the same requests for the same reasons."""
         digest = 0
-        for evidence in self.settled:
+        for evidence in self.conclusive:
             digest ^= evidence.digest
         return digest
 
@@ -186,11 +186,13 @@
         """Return the evidence on a request."""
         return self._seen.get(request)
 
-    def note_ended(self, request: str, targets: Mapping[str, ServingSpan]) -> CrashRecord | None:
+    def record_crashes(
+        self, request: str, targets: Mapping[str, ServingSpan]
+    ) -> CrashRecord | None:
         """Note targets that ended under a request; return the evidence if it is new."""
-        return self.merge(self.with_ended(request, targets))
+        return self.merge(self.with_crashes(request, targets))
 
-    def with_ended(self, request: str, targets: Mapping[str, ServingSpan]) -> CrashRecord:
+    def with_crashes(self, request: str, targets: Mapping[str, ServingSpan]) -> CrashRecord:
         """Return what would be known with further targets, without noting them."""
         known = self._seen.get(request)
         evidence = CrashRecord(
@@ -200,7 +202,7 @@
             evidence.merge(known)
         return evidence
 
-    def note_answered(self, request: str) -> CrashRecord | None:
+    def record_answer(self, request: str) -> CrashRecord | None:
         """Note that a target answered a request; return the evidence if that is new."""
         known = self._seen.get(request)
         if known is None or not known.targets:
@@ -210,7 +212,7 @@
     def merge(self, other: CrashRecord) -> CrashRecord | None:
         """Take in evidence; return all that is known of its request if some was new."""
         now = self._clock()
-        if other.last_at <= now - KEEP_S:
+        if other.last_at <= now - RETENTION_S:
             return None
         if now - self._swept_at >= _SWEEP_S or len(self._seen) >= _SWEEP_AT:
             self._sweep(now)
@@ -235,11 +237,14 @@
         """
         self._swept_at = now
         for request, evidence in list(self._seen.items()):
-            evidence.forget(now - KEEP_S)
-            if evidence.last_at <= now - KEEP_S:
+            evidence.forget(now - RETENTION_S)
+            if evidence.last_at <= now - RETENTION_S:
                 del self._seen[request]
-        settled = sorted(r for r, e in self._seen.items() if e.settled)
-        others = [e for e in self._seen.values() if not e.settled]
+        settled = sorted(r for r, e in self._seen.items() if e.is_conclusive)
+        others = [e for e in self._seen.values() if not e.is_conclusive]
         others.sort(key=lambda evidence: evidence.last_at, reverse=True)
-        for request in (*settled[SETTLED_MOST:], *(e.request for e in others[_OPEN_MOST:])):
+        for request in (
+            *settled[MAX_CONCLUSIVE_RECORDS:],
+            *(e.request for e in others[_MAX_OTHER_RECORDS:]),
+        ):
             del self._seen[request]
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -330,7 +330,7 @@
     Mutant(
         "count targets that ended at once",
         CrashRecord,
-        "in_turn",
+        "consecutive_crashes",
         property(_all_at_once_count),
         "tests/test_crashes.py",
     ),
--- a/tests/test_crash_guard.py
+++ b/tests/test_crash_guard.py
@@ -11,7 +11,7 @@
 from dunlinnotch.coordination.requests.fingerprint import Fingerprint
 from dunlinnotch.protocol.relay import CallerRequest
 from dunlinnotch.standins.users.worker import WorkerSettings
-from dunlinnotch.state.crashes import BAR_AT, CrashLog
+from dunlinnotch.state.crashes import QUARANTINE_THRESHOLD, CrashLog
 from dunlinnotch.state.instances import Instance, ListedTarget
 from tests.stream_world import call, stream_world, until
 from tests.test_crashes import targets
@@ -64,7 +64,7 @@
 
 def test_targets_of_the_request_under_way_count_with_those_known():
     crash_guard, log, _ = guard("a", "b", "c")
-    log.note_ended("f", targets(1))
+    log.record_crashes("f", targets(1))
     suspect = Suspect(WORST_KNOWN)
     look(crash_guard, suspect, "a")
     assert crash_guard.barred_for(suspect) == 0
@@ -84,7 +84,7 @@
 
 def test_an_answer_takes_back_what_others_told():
     crash_guard, log, told = guard()
-    log.note_ended("f", targets(BAR_AT - 1))
+    log.record_crashes("f", targets(QUARANTINE_THRESHOLD - 1))
     crash_guard.finished(Suspect(WORST_KNOWN), answered=True)
     assert [evidence.answers for evidence in told] == [1]
     assert log.find("f").targets == {}
@@ -132,7 +132,7 @@
             box = world.boxes[0]
             worker = await world.add_worker(WorkerSettings(ends_under=lambda path: path == WORST))
             await until(lambda: box.instances.for_service("loans"))
-            for _ in range(BAR_AT - 1):
+            for _ in range(QUARANTINE_THRESHOLD - 1):
                 assert (await call(box, WORST, "worst")).status == 502
                 before = worker.instance
                 await worker.start_again()
@@ -143,8 +143,8 @@
                 await until(lambda name=name: box.instances.find(name))
             worker.settings.ends_under = None
             assert (await call(box, WORST, "mended")).status == 200
-            for evidence in box.crashes.settled:
+            for evidence in box.crashes.conclusive:
                 assert (evidence.answers, evidence.targets) == (1, {})
-            assert len(box.crashes.settled) == 2
+            assert len(box.crashes.conclusive) == 2
 
     asyncio.run(test())
--- a/tests/test_crash_news.py
+++ b/tests/test_crash_news.py
@@ -12,11 +12,11 @@
 from dunlinnotch.errors import PlatformUnavailableError
 from dunlinnotch.protocol.mesh import pack_messages
 from dunlinnotch.protocol.store import RowsRead
-from dunlinnotch.state.crashes import BAR_AT, BAR_FIRST_S, KEEP_S, CrashLog
+from dunlinnotch.state.crashes import MIN_QUARANTINE_S, QUARANTINE_THRESHOLD, RETENTION_S, CrashLog
 from dunlinnotch.state.table_replica import TableRow
 from tests.test_crashes import targets
 
-TARGETS = targets(BAR_AT)
+TARGETS = targets(QUARANTINE_THRESHOLD)
 
 
 class Rows:
@@ -98,7 +98,7 @@
 
     def see(self, name, targets, *, request="worst"):
         """Have a box see targets end under a request."""
-        self.news[name].tell([self.logs[name].note_ended(request, targets)])
+        self.news[name].tell([self.logs[name].record_crashes(request, targets)])
         self.deliver()
 
     def turn(self):
@@ -196,13 +196,13 @@
         news, log, boxes = alone(store)
         await work(news, lambda: news.known)
         boxes.clock.now += 1
-        news.tell([log.note_ended("worst", TARGETS)])
+        news.tell([log.record_crashes("worst", TARGETS)])
         await work(news, lambda: store.rows)
         store.now += 60
         again, later, _ = alone(store, clock=7.0)
         assert again.known is False
         await work(again, lambda: again.known)
-        assert BAR_FIRST_S - 62 < later.quarantine_left("worst") <= BAR_FIRST_S - 60
+        assert MIN_QUARANTINE_S - 62 < later.quarantine_left("worst") <= MIN_QUARANTINE_S - 60
 
     asyncio.run(test())
 
@@ -212,7 +212,7 @@
         store = Rows()
         boxes = TellingBoxes(9, store=store).settled()
         told = [
-            boxes.logs[f"box-{number}"].note_ended("worst", {target: span})
+            boxes.logs[f"box-{number}"].record_crashes("worst", {target: span})
             for number, (target, span) in enumerate(TARGETS.items())
         ]
         # All three tell at once, before they hear each other.
@@ -230,7 +230,7 @@
     """Return a box without peers that has had a bar kept in the store."""
     news, log, _ = alone(store)
     await work(news, lambda: news.known)
-    news.tell([log.note_ended("worst", TARGETS)])
+    news.tell([log.record_crashes("worst", TARGETS)])
     await work(news, lambda: store.rows)
     return news
 
@@ -266,8 +266,8 @@
         store = Rows()
         news, log, _ = alone(store)
         await work(news, lambda: news.known)
-        news.tell([log.note_ended("once", targets(1))])
-        news.tell([log.note_ended("worst", TARGETS)])
+        news.tell([log.record_crashes("once", targets(1))])
+        news.tell([log.record_crashes("worst", TARGETS)])
         await work(news, lambda: store.rows)
         assert list(store.rows) == ["worst"]
 
@@ -281,7 +281,7 @@
         await work(news, lambda: news.known)
         store.away = True
         calls = store.calls
-        news.tell([log.note_ended("worst", TARGETS)])
+        news.tell([log.record_crashes("worst", TARGETS)])
         await work(news, lambda: store.calls > calls + 1)
         assert not store.rows
         store.away = False
@@ -309,14 +309,14 @@
         store = Rows()
         news, log, _ = alone(store)
         await work(news, lambda: news.known)
-        news.tell([log.note_ended("old", TARGETS)])
+        news.tell([log.record_crashes("old", TARGETS)])
         await work(news, lambda: store.rows)
         store.rows["noise"] = (77, b"\xc1")
-        store.now += 2 * KEEP_S
+        store.now += 2 * RETENTION_S
         again, later, _ = alone(store)
         await work(again, lambda: again.known)
         assert later.quarantine_left("old") == 0
-        again.tell([later.note_ended("new", TARGETS)])
+        again.tell([later.record_crashes("new", TARGETS)])
         await work(again, lambda: "new" in store.rows)
         assert list(store.rows) == ["new"]
 
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -20,12 +20,12 @@
 )
 from dunlinnotch.protocol.mesh import pack_messages, unpack_messages
 from dunlinnotch.state.crashes import (
-    BAR_AT,
-    BAR_FIRST_S,
-    BAR_MOST_S,
-    KEEP_S,
-    SETTLED_MOST,
-    TARGETS_MOST,
+    MAX_CONCLUSIVE_RECORDS,
+    MAX_QUARANTINE_S,
+    MAX_TARGETS_PER_REQUEST,
+    MIN_QUARANTINE_S,
+    QUARANTINE_THRESHOLD,
+    RETENTION_S,
     CrashLog,
     CrashRecord,
     ServingSpan,
@@ -43,16 +43,16 @@
 def test_a_request_is_barred_by_its_third_target_and_tried_again_later():
     clock = Clock()
     log = CrashLog(clock=clock)
-    log.note_ended("r", targets(BAR_AT - 1))
+    log.record_crashes("r", targets(QUARANTINE_THRESHOLD - 1))
     assert log.quarantine_left("r") == 0
-    log.note_ended("r", targets(1))
+    log.record_crashes("r", targets(1))
     assert log.quarantine_left("r") == 0
     clock.now += 5
-    log.note_ended("r", targets(1, BAR_AT, at=clock.now))
-    assert log.quarantine_left("r") == BAR_FIRST_S
+    log.record_crashes("r", targets(1, QUARANTINE_THRESHOLD, at=clock.now))
+    assert log.quarantine_left("r") == MIN_QUARANTINE_S
     assert log.quarantined == 1
     assert log.quarantine_left("another") == 0
-    clock.now += BAR_FIRST_S
+    clock.now += MIN_QUARANTINE_S
     assert log.quarantine_left("r") == 0
 
 
@@ -60,45 +60,51 @@
     clock = Clock()
     log = CrashLog(clock=clock)
     bars = []
-    for number in range(2 * TARGETS_MOST):
-        log.note_ended("r", targets(1, number, at=clock.now))
+    for number in range(2 * MAX_TARGETS_PER_REQUEST):
+        log.record_crashes("r", targets(1, number, at=clock.now))
         bars.append(log.quarantine_left("r"))
         clock.now += 1
-    assert bars[: BAR_AT + 2] == [0, 0, BAR_FIRST_S, 2 * BAR_FIRST_S, 4 * BAR_FIRST_S]
-    assert set(bars[BAR_AT + 2 :]) == {BAR_MOST_S}
+    assert bars[: QUARANTINE_THRESHOLD + 2] == [
+        0,
+        0,
+        MIN_QUARANTINE_S,
+        2 * MIN_QUARANTINE_S,
+        4 * MIN_QUARANTINE_S,
+    ]
+    assert set(bars[QUARANTINE_THRESHOLD + 2 :]) == {MAX_QUARANTINE_S}
 
 
 def test_targets_that_end_at_once_count_as_one():
     """A loss of power ends many targets; what many callers ask for is at all of them."""
     clock = Clock()
     log = CrashLog(clock=clock)
-    at_once = {f"t{n}": ServingSpan(9.0 + n / 100, 10.0) for n in range(2 * BAR_AT)}
-    log.note_ended("popular", at_once)
-    assert log.find("popular").in_turn == 1
-    log.note_ended("popular", {"next": ServingSpan(10.001, 10.2)})
-    assert log.find("popular").in_turn == 2
+    at_once = {f"t{n}": ServingSpan(9.0 + n / 100, 10.0) for n in range(2 * QUARANTINE_THRESHOLD)}
+    log.record_crashes("popular", at_once)
+    assert log.find("popular").consecutive_crashes == 1
+    log.record_crashes("popular", {"next": ServingSpan(10.001, 10.2)})
+    assert log.find("popular").consecutive_crashes == 2
     assert log.quarantine_left("popular") == 0
 
 
 def test_an_answer_takes_back_what_was_seen_before_it():
     clock = Clock()
     log = CrashLog(clock=clock)
-    assert log.note_answered("r") is None
-    log.note_ended("r", targets(2))
-    log.note_answered("r")
-    log.note_ended("r", targets(2, 2))
+    assert log.record_answer("r") is None
+    log.record_crashes("r", targets(2))
+    log.record_answer("r")
+    log.record_crashes("r", targets(2, 2))
     assert log.quarantine_left("r") == 0
     clock.now += 1
-    log.note_ended("r", targets(1, 4, at=clock.now))
-    assert log.quarantine_left("r") == BAR_FIRST_S
+    log.record_crashes("r", targets(1, 4, at=clock.now))
+    assert log.quarantine_left("r") == MIN_QUARANTINE_S
 
 
 def test_an_answer_counts_also_where_it_is_heard_before_what_it_takes_back():
     clock = Clock()
     first, second = CrashLog(clock=clock), CrashLog(clock=clock)
-    seen = first.note_ended("r", targets(BAR_AT))
+    seen = first.record_crashes("r", targets(QUARANTINE_THRESHOLD))
     before = CrashRecord("r", targets=dict(seen.targets))
-    answered = first.note_answered("r")
+    answered = first.record_answer("r")
     second.merge(answered)
     assert second.merge(before) is None
     assert second.quarantine_left("r") == 0
@@ -108,48 +114,48 @@
 def test_what_is_remembered_is_bounded():
     clock = Clock()
     log = CrashLog(clock=clock)
-    log.note_ended("worst", targets(BAR_AT))
-    for number in range(5 * SETTLED_MOST):
+    log.record_crashes("worst", targets(QUARANTINE_THRESHOLD))
+    for number in range(5 * MAX_CONCLUSIVE_RECORDS):
         clock.now += 0.01
-        log.note_ended(f"r{number}", targets(1))
-    assert len(log) <= 4 * SETTLED_MOST
+        log.record_crashes(f"r{number}", targets(1))
+    assert len(log) <= 4 * MAX_CONCLUSIVE_RECORDS
     assert log.quarantine_left("worst") > 0
-    log.note_ended("worst", targets(3 * TARGETS_MOST, at=clock.now))
-    assert len(log.find("worst").targets) == TARGETS_MOST
+    log.record_crashes("worst", targets(3 * MAX_TARGETS_PER_REQUEST, at=clock.now))
+    assert len(log.find("worst").targets) == MAX_TARGETS_PER_REQUEST
 
 
 def test_boxes_that_know_too_much_drop_the_same_and_agree():
     """Dropped by age, evidence came back from peers for ever: 8 times the processor time."""
     clock = Clock()
     first, second = CrashLog(clock=clock), CrashLog(clock=clock)
-    for number in range(2 * SETTLED_MOST):
-        first.note_ended(f"a{number}", targets(BAR_AT))
-        second.note_ended(f"b{number}", targets(BAR_AT))
+    for number in range(2 * MAX_CONCLUSIVE_RECORDS):
+        first.record_crashes(f"a{number}", targets(QUARANTINE_THRESHOLD))
+        second.record_crashes(f"b{number}", targets(QUARANTINE_THRESHOLD))
     for _ in range(3):
         clock.now += 2
         for one, other in ((first, second), (second, first)):
-            for evidence in one.settled:
+            for evidence in one.conclusive:
                 other.merge(from_ages(as_ages(evidence, clock.now), clock.now))
     clock.now += 2
     for log in (first, second):
-        log.note_ended("last", targets(1))
+        log.record_crashes("last", targets(1))
     assert first.digest == second.digest
-    assert len(first.settled) == SETTLED_MOST
-    news = [first.merge(from_ages(as_ages(e, clock.now), clock.now)) for e in second.settled]
-    assert news == [None] * SETTLED_MOST
+    assert len(first.conclusive) == MAX_CONCLUSIVE_RECORDS
+    news = [first.merge(from_ages(as_ages(e, clock.now), clock.now)) for e in second.conclusive]
+    assert news == [None] * MAX_CONCLUSIVE_RECORDS
 
 
 def test_nothing_lapsed_is_taken_in_anew():
     clock = Clock()
     log = CrashLog(clock=clock)
-    assert log.merge(CrashRecord("r", targets=targets(1, at=clock.now - KEEP_S))) is None
+    assert log.merge(CrashRecord("r", targets=targets(1, at=clock.now - RETENTION_S))) is None
     assert log.digest == 0
 
 
 def test_evidence_survives_the_datagram_by_ages():
     clock = Clock()
     log = CrashLog(clock=clock)
-    seen = log.note_ended("r", targets(2))
+    seen = log.record_crashes("r", targets(2))
     clock.now += 1.5
     message = as_ages(seen, clock.now)
     assert message.targets == {"t0": (1650, 1600), "t1": (1550, 1500)}
@@ -206,11 +212,11 @@
 
     @rule(box=st.integers(0, 2), request=st.sampled_from("rs"), number=st.integers(0, 9))
     def ended(self, box, request, number):
-        self._tell(self.logs[box].note_ended(request, targets(1, number, at=self.clock.now)))
+        self._tell(self.logs[box].record_crashes(request, targets(1, number, at=self.clock.now)))
 
     @rule(box=st.integers(0, 2), request=st.sampled_from("rs"))
     def answered(self, box, request):
-        self._tell(self.logs[box].note_answered(request))
+        self._tell(self.logs[box].record_answer(request))
 
     @rule(box=st.integers(0, 2), which=st.integers(0, 1000))
     def hear(self, box, which):
