--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -27,7 +27,7 @@
 from dunlinnotch.protocol.peers import LinkState, Sync
 from dunlinnotch.state.boxes import BoxRow
 from dunlinnotch.state.heads import AnswerHead
-from dunlinnotch.state.ledger import IdempotencyLedger, KeptAnswer
+from dunlinnotch.state.ledger import IdempotencyLedger, StoredAnswer
 from dunlinnotch.state.schema import RunState
 from dunlinnotch.state.targets import TargetRecord
 from dunlinnotch.state.tree import Change, Edit, SettingsTree
@@ -254,9 +254,9 @@
         ledger = IdempotencyLedger(clock=lambda: 1.0)
         for number in range(count):
             key = f"holdings/loan/box-00001~1796205229814327432~573829~{number:032}"
-            entry = ledger.claim(key, minted=1.0, window=600.0).entry
+            entry = ledger.claim(key, issued_at=1.0, window=600.0).entry
             if entry is not None:
-                ledger.answered(entry, KeptAnswer(head, b"x" * 100))
+                ledger.record_answer(entry, StoredAnswer(head, b"x" * 100))
         return ledger
 
     memory = [kilobytes(lambda s=size: fill(s)) for size in sizes]  # type: ignore[misc]
--- a/dunlinnotch/coordination/requests/once.py
+++ b/dunlinnotch/coordination/requests/once.py
@@ -8,7 +8,7 @@
 from dunlinnotch.protocol.answers import parse_once_key
 from dunlinnotch.protocol.attempt import CallerGoneError
 from dunlinnotch.protocol.outcome import CallResult, Outcome, Reason
-from dunlinnotch.state.ledger import Claim, ClaimStatus, IdempotencyLedger, KeptAnswer, KeyState
+from dunlinnotch.state.ledger import Claim, ClaimStatus, IdempotencyLedger, KeyState, StoredAnswer
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -83,7 +83,7 @@
             settled = True
         finally:
             if not settled:
-                self._ledger.unknown(entry)
+                self._ledger.record_unknown(entry)
         return result
 
     def may_have_run(self, call: Call) -> bool:
@@ -97,7 +97,7 @@
             return False
         if (key.box, key.incarnation) != (self._box, self._incarnation):
             return True
-        return self._ledger.may_know(_name(call), minted=key.minted_ms / 1000)
+        return self._ledger.may_have_seen(_name(call), issued_at=key.minted_ms / 1000)
 
     def _claim(self, call: Call, window: Seconds) -> Claim | CallResult:
         if call.once_key is None:
@@ -112,7 +112,7 @@
         if (key.box, key.incarnation) != (self._box, self._incarnation):
             detail = f"only box {key.box}, incarnation {key.incarnation}, may run this key"
             return CallResult(Outcome.UNKNOWN, _CONFLICT, Reason.ONCE_KEY_ELSEWHERE, detail)
-        claim = self._ledger.claim(_name(call), minted=key.minted_ms / 1000, window=window)
+        claim = self._ledger.claim(_name(call), issued_at=key.minted_ms / 1000, window=window)
         if claim.status is ClaimStatus.EXPIRED:
             detail = f"the key is older than {window:g} s; whether it ran is no longer known"
             return CallResult(Outcome.UNKNOWN, _CONFLICT, Reason.ONCE_KEY_EXPIRED, detail)
@@ -127,13 +127,13 @@
         if result.outcome is Outcome.NOT_RUN:
             self._ledger.release(entry)
         elif keeper.whole and keeper.head is not None:
-            self._ledger.answered(entry, KeptAnswer(keeper.head, keeper.body()))
+            self._ledger.record_answer(entry, StoredAnswer(keeper.head, keeper.body()))
         else:
-            self._ledger.unknown(entry)
+            self._ledger.record_unknown(entry)
 
     def _answer_twin(self, entry: KeyEntry, call: Call, reply: ReplySink) -> CallResult:
         state = self._ledger.wait(entry, max(0.0, call.deadline - self._clock()))
-        if not self._ledger.holds(entry):
+        if not self._ledger.is_current(entry):
             return _refused_twin()
         if state is not KeyState.ANSWERED or entry.answer is None:
             detail = "a request with this key was sent on and its end is not known"
--- a/dunlinnotch/state/ledger.py
+++ b/dunlinnotch/state/ledger.py
@@ -19,9 +19,9 @@
     from dunlinnotch.types import Clock, Seconds
 
 #: Bytes of kept answers over which the oldest bodies are dropped.
-KEPT_BYTES = 16 * 1024 * 1024
+MAX_STORED_BYTES = 16 * 1024 * 1024
 #: Keys remembered; over it new keys are refused, never old ones forgotten.
-KEYS_MAX = 200_000
+MAX_KEYS = 200_000
 
 
 class KeyState(Enum):
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeptAnswer:
+class StoredAnswer:
     """A whole answer kept for callers that ask again.
 
     Parameters
@@ -63,7 +63,7 @@
     key: str
     claimed_at: Seconds
     state: KeyState = KeyState.RUNNING
-    answer: KeptAnswer | None = None
+    answer: StoredAnswer | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -88,7 +88,7 @@
     ----------
     clock : callable
         The same monotonic clock from which stems are minted.
-    keys_max : int, default 200000
+    max_keys : int, default 200000
 
     Notes
     -----
@@ -97,9 +97,9 @@
     can't be forgotten while it would still be accepted.
     """
 
-    def __init__(self, *, clock: Clock, keys_max: int = KEYS_MAX) -> None:
+    def __init__(self, *, clock: Clock, max_keys: int = MAX_KEYS) -> None:
         self._clock = clock
-        self._keys_max = keys_max
+        self._keys_max = max_keys
         self._entries: OrderedDict[str, KeyEntry] = OrderedDict()
         self._kept_bytes = 0
         # Keys minted up to here may have been claimed, and forgotten since.
@@ -109,13 +109,13 @@
     def __len__(self) -> int:
         return len(self._entries)
 
-    def claim(self, key: str, *, minted: Seconds, window: Seconds) -> Claim:
+    def claim(self, key: str, *, issued_at: Seconds, window: Seconds) -> Claim:
         """Claim the right to run ``key``.
 
         Parameters
         ----------
         key : str
-        minted : float
+        issued_at : float
             When its stem was made, by this ledger's clock.
         window : float
             Seconds for which a key is valid.
@@ -126,7 +126,7 @@
             known = self._entries.get(key)
             if known is not None:
                 return Claim(ClaimStatus.KNOWN, known)
-            if now - minted > window or minted > now:
+            if now - issued_at > window or issued_at > now:
                 return Claim(ClaimStatus.EXPIRED)
             if len(self._entries) >= self._keys_max:
                 return Claim(ClaimStatus.FULL)
@@ -140,7 +140,7 @@
             entry.state = KeyState.UNKNOWN
             self._changed.notify_all()
 
-    def answered(self, entry: KeyEntry, answer: KeptAnswer) -> None:
+    def record_answer(self, entry: KeyEntry, answer: StoredAnswer) -> None:
         """Keep the whole answer of a request that ran."""
         with self._changed:
             entry.state = KeyState.ANSWERED
@@ -149,7 +149,7 @@
             self._drop_bodies()
             self._changed.notify_all()
 
-    def unknown(self, entry: KeyEntry) -> None:
+    def record_unknown(self, entry: KeyEntry) -> None:
         """Note that nobody knows whether the request ran."""
         with self._changed:
             entry.state = KeyState.UNKNOWN
@@ -161,14 +161,14 @@
             self._changed.wait_for(lambda: entry.state is not KeyState.RUNNING, timeout)
             return entry.state
 
-    def holds(self, entry: KeyEntry) -> bool:
+    def is_current(self, entry: KeyEntry) -> bool:
         """Return whether the entry is still the one remembered for its key."""
         return self._entries.get(entry.key) is entry
 
-    def may_know(self, key: str, *, minted: Seconds) -> bool:
+    def may_have_seen(self, key: str, *, issued_at: Seconds) -> bool:
         """Return whether ``key`` is remembered, or so old that it may have been forgotten."""
         with self._changed:
-            return key in self._entries or minted <= self._forgotten_before
+            return key in self._entries or issued_at <= self._forgotten_before
 
     def _expire(self, now: Seconds, window: Seconds) -> None:
         while self._entries:
@@ -182,8 +182,8 @@
 
     def _drop_bodies(self) -> None:
         for entry in self._entries.values():
-            if self._kept_bytes <= KEPT_BYTES:
+            if self._kept_bytes <= MAX_STORED_BYTES:
                 return
             if entry.answer is not None and entry.answer.body is not None:
                 self._kept_bytes -= len(entry.answer.body)
-                entry.answer = KeptAnswer(entry.answer.head, None)
+                entry.answer = StoredAnswer(entry.answer.head, None)
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -133,7 +133,7 @@
     return False
 
 
-def _claim_always(self, key, *, minted, window):
+def _claim_always(self, key, *, issued_at, window):
     return Claim(ClaimStatus.RUN, KeyEntry(key, self._clock()))
 
 
--- a/tests/test_once.py
+++ b/tests/test_once.py
@@ -8,7 +8,7 @@
 
 from dunlinnotch.protocol.outcome import Outcome
 from dunlinnotch.state.heads import AnswerHead
-from dunlinnotch.state.ledger import ClaimStatus, IdempotencyLedger, KeptAnswer, KeyState
+from dunlinnotch.state.ledger import ClaimStatus, IdempotencyLedger, KeyState, StoredAnswer
 from tests import FakeClock
 from tests.matrix import setup
 from tests.world import Request, World
@@ -109,11 +109,11 @@
 
 def test_twin_that_comes_while_the_first_runs_waits_for_its_answer():
     ledger = IdempotencyLedger(clock=FakeClock())
-    first = ledger.claim("k", minted=990.0, window=60.0)
-    twin = ledger.claim("k", minted=990.0, window=60.0)
+    first = ledger.claim("k", issued_at=990.0, window=60.0)
+    twin = ledger.claim("k", issued_at=990.0, window=60.0)
     assert (first.status, twin.status) == (ClaimStatus.RUN, ClaimStatus.KNOWN)
-    answer = KeptAnswer(AnswerHead(200, "", (), 2), b"ok")
-    threading.Timer(0.05, ledger.answered, (first.entry, answer)).start()
+    answer = StoredAnswer(AnswerHead(200, "", (), 2), b"ok")
+    threading.Timer(0.05, ledger.record_answer, (first.entry, answer)).start()
     assert ledger.wait(twin.entry, 5.0) is KeyState.ANSWERED
     assert twin.entry.answer.body == b"ok"
 
@@ -121,24 +121,24 @@
 def test_key_is_forgotten_only_after_it_is_refused():
     clock = FakeClock()
     ledger = IdempotencyLedger(clock=clock)
-    ledger.unknown(ledger.claim("k", minted=clock(), window=60.0).entry)
+    ledger.record_unknown(ledger.claim("k", issued_at=clock(), window=60.0).entry)
     clock.advance(59.0)
-    assert ledger.claim("k", minted=1000.0, window=60.0).status is ClaimStatus.KNOWN
+    assert ledger.claim("k", issued_at=1000.0, window=60.0).status is ClaimStatus.KNOWN
     clock.advance(2.0)
-    assert ledger.claim("k", minted=1000.0, window=60.0).status is ClaimStatus.EXPIRED
+    assert ledger.claim("k", issued_at=1000.0, window=60.0).status is ClaimStatus.EXPIRED
     assert len(ledger) == 0
 
 
 def test_full_ledger_refuses_new_keys_and_forgets_no_old_one():
     clock = FakeClock()
-    ledger = IdempotencyLedger(clock=clock, keys_max=2)
+    ledger = IdempotencyLedger(clock=clock, max_keys=2)
     for key in ("a", "b"):
-        ledger.unknown(ledger.claim(key, minted=clock(), window=60.0).entry)
-    assert ledger.claim("c", minted=clock(), window=60.0).status is ClaimStatus.FULL
-    assert ledger.claim("a", minted=clock(), window=60.0).status is ClaimStatus.KNOWN
+        ledger.record_unknown(ledger.claim(key, issued_at=clock(), window=60.0).entry)
+    assert ledger.claim("c", issued_at=clock(), window=60.0).status is ClaimStatus.FULL
+    assert ledger.claim("a", issued_at=clock(), window=60.0).status is ClaimStatus.KNOWN
 
 
 def test_key_from_the_future_of_this_process_is_not_its_own():
     clock = FakeClock()
     ledger = IdempotencyLedger(clock=clock)
-    assert ledger.claim("k", minted=clock() + 1, window=60.0).status is ClaimStatus.EXPIRED
+    assert ledger.claim("k", issued_at=clock() + 1, window=60.0).status is ClaimStatus.EXPIRED
