--- a/dunlinnotch/coordination/budgets/probes.py
+++ b/dunlinnotch/coordination/budgets/probes.py
@@ -59,7 +59,7 @@
 
     def wanted(self, target: TargetRecord, now: Seconds) -> bool:
         """Return whether calls leave a gap that a probe would fill."""
-        if now < target.rest_until:
+        if now < target.backoff_until:
             return False
         silent = now - max(target.reported_at, target.last_used) > _FRESH_S
         return silent or target.leaving
--- a/dunlinnotch/coordination/choosing/least_load.py
+++ b/dunlinnotch/coordination/choosing/least_load.py
@@ -194,14 +194,14 @@
         flight = Flight(now, self._answer_times.get(kind, self._answer_time))
         target.flights.append(flight)
         target.last_used = now
-        if target.aside:
+        if target.ejected:
             target.trial_running = True
-            target.next_trial = now + self.trial_s
+            target.next_trial_at = now + self.trial_s
         return flight
 
     def heard(self, target: TargetRecord, now: Seconds, in_flight: int) -> None:
         """Take in a load report that came with an answer or a probe."""
-        others = target.heard(now, in_flight)
+        others = target.record_report(now, in_flight)
         self._mean_others += _GAIN * (others - self._mean_others)
         self._last_report = now
 
@@ -234,13 +234,13 @@
         if not counted:
             return
         if not failed:
-            target.succeeded()
+            target.record_success()
             self._learn_time(kind, now - flight.began)
             return
-        target.failed(now)
+        target.record_failure(now)
         if target.errors_in_row >= self.eject_after and self._may_set_aside():
-            target.aside = True
-            target.next_trial = now + self.trial_s
+            target.ejected = True
+            target.next_trial_at = now + self.trial_s
 
     def _learn_time(self, kind: str, took: Seconds) -> None:
         self._answer_time += _GAIN * (took - self._answer_time)
@@ -253,7 +253,7 @@
 
     def _may_set_aside(self) -> bool:
         targets = self.targets
-        aside = sum(target.aside for target in targets)
+        aside = sum(target.ejected for target in targets)
         return aside + 1 <= self.eject_share * len(targets)
 
     def _draw_place(self) -> str:
@@ -268,8 +268,8 @@
 
     def _due_trial(self, now: Seconds, exclude: Collection[Address]) -> TargetRecord | None:
         for target in self.sharing():
-            due = target.aside and not target.trial_running and now >= target.next_trial
-            if due and not target.wants_nothing(now) and target.address not in exclude:
+            due = target.ejected and not target.trial_running and now >= target.next_trial_at
+            if due and not target.refuses_work(now) and target.address not in exclude:
                 return target
         return None
 
@@ -282,15 +282,15 @@
                 target,
             )
             for target in self._targets.get(place, ())
-            if not (target.wants_nothing(now) or target.aside or target.address in exclude)
+            if not (target.refuses_work(now) or target.ejected or target.address in exclude)
         ]
 
     def _last_resort(self, now: Seconds, exclude: Collection[Address]) -> Choice | None:
         """Use a target set aside rather than none at all."""
-        aside = [t for t in self.sharing() if not (t.wants_nothing(now) or t.address in exclude)]
+        aside = [t for t in self.sharing() if not (t.refuses_work(now) or t.address in exclude)]
         if not aside:
             return None
-        target = min(aside, key=lambda t: (t.own, self._rng.random()))
+        target = min(aside, key=lambda t: (t.own_in_flight, self._rng.random()))
         return Choice(target, self.score(target, now), "last-resort", ())
 
 
--- a/dunlinnotch/coordination/choosing/pool.py
+++ b/dunlinnotch/coordination/choosing/pool.py
@@ -160,9 +160,9 @@
             now = self._clock()
             if report.in_flight is not None:
                 self._chooser.heard(target, now, report.in_flight)
-            target.take_state(report.incarnation, leaving=report.leaving)
+            target.record_state(report.incarnation, leaving=report.leaving)
             if report.rest:
-                target.rest_until = max(target.rest_until, now + report.rest)
+                target.backoff_until = max(target.backoff_until, now + report.rest)
             if report.cold:
                 target.begin_warm_up(now, self._chooser.warm_up_s)
 
@@ -172,12 +172,12 @@
             for word in leaving:
                 target = self._records.get(word.address)
                 if target is not None:
-                    target.hear_leaving(word.incarnation)
+                    target.record_peer_leaving(word.incarnation)
 
     def told_leaving(self) -> list[LeavingTarget]:
         """Return the targets in use that have told this box that they leave."""
         with self._lock:
-            told = [target for target in self._chooser.targets if target.told_leaving]
+            told = [target for target in self._chooser.targets if target.reported_leaving]
             return [LeavingTarget(target.address, target.incarnation) for target in told]
 
     def finish(self, grant: Grant, *, failed: bool, counted: bool = True) -> None:
@@ -249,7 +249,7 @@
         return known
 
     def _forget_gone(self, kept: dict[Address, TargetRecord]) -> None:
-        gone = [a for a, t in self._records.items() if a not in kept and t.own == 0]
+        gone = [a for a, t in self._records.items() if a not in kept and t.own_in_flight == 0]
         for address in gone:
             del self._records[address]
 
--- a/dunlinnotch/daemon/operator.py
+++ b/dunlinnotch/daemon/operator.py
@@ -116,11 +116,11 @@
                 t.address,
                 t.place,
                 round(score, 3),
-                t.own,
-                round(t.others, 2),
-                round(t.doubt, 3),
+                t.own_in_flight,
+                round(t.others_in_flight, 2),
+                round(t.report_shortfall, 3),
                 t.leaving,
-                t.aside,
+                t.ejected,
             )
             for t, score in scores
         )
--- a/dunlinnotch/state/targets.py
+++ b/dunlinnotch/state/targets.py
@@ -12,7 +12,7 @@
 #: Weight of a new sample in the share of reports that were found too low.
 _DOUBT_GAIN = 0.1
 #: Share of shortfall above which a target's own reports are no longer used.
-DOUBT_LIMIT = 0.35
+MAX_REPORT_SHORTFALL = 0.35
 #: Time constant, in seconds, over which the load charged for errors fades.
 _ERROR_FADE_S = 0.5
 #: Differences below a tenth of a call are noise; without them, idle targets tie and share.
@@ -66,25 +66,25 @@
     slots: int
     sharers: float = 1.0
     flights: list[Flight] = field(default_factory=list)
-    others: float = 0.0
+    others_in_flight: float = 0.0
     reported_at: Seconds = -math.inf
-    doubt: float = 0.0
+    report_shortfall: float = 0.0
     error_load: float = 0.0
     error_at: Seconds = -math.inf
     errors_in_row: int = 0
-    aside: bool = False
-    next_trial: Seconds = -math.inf
+    ejected: bool = False
+    next_trial_at: Seconds = -math.inf
     trial_running: bool = False
     leaving: bool = False
-    told_leaving: bool = False
+    reported_leaving: bool = False
     incarnation: str | None = None
     warm_from: Seconds = -math.inf
     warm_up: Seconds = 0.0
     last_used: Seconds = -math.inf
-    rest_until: Seconds = -math.inf
+    backoff_until: Seconds = -math.inf
 
     @property
-    def own(self) -> int:
+    def own_in_flight(self) -> int:
         """Calls of this box that are in flight at the target."""
         return len(self.flights)
 
@@ -100,10 +100,10 @@
             Time constant, in seconds, at which a report loses its worth.
         """
         own = len(self.flights)
-        if self.doubt > DOUBT_LIMIT:
+        if self.report_shortfall > MAX_REPORT_SHORTFALL:
             return own + max(mean_others, own * (self.sharers - 1.0))
         weight = math.exp(-(now - self.reported_at) / fade)
-        return own + mean_others + (self.others - mean_others) * weight
+        return own + mean_others + (self.others_in_flight - mean_others) * weight
 
     def occupancy(self, now: Seconds, *, mean_others: float, fade: Seconds) -> float:
         """Return the calls in flight plus what overdue calls and errors are charged.
@@ -145,7 +145,7 @@
         warmth = max(0.0, (now - self.warm_from) / self.warm_up)
         return self.slots * (_COLD_SHARE + (1.0 - _COLD_SHARE) * warmth)
 
-    def heard(self, now: Seconds, in_flight: int) -> float:
+    def record_report(self, now: Seconds, in_flight: int) -> float:
         """Take in a target's report; return its estimate of the others' calls.
 
         Parameters
@@ -154,27 +154,27 @@
         in_flight : int
             Calls at the target besides the one that was answered.
         """
-        own_besides = max(0, self.own - 1)
+        own_besides = max(0, self.own_in_flight - 1)
         if own_besides > 1:
             short = max(0.0, own_besides - in_flight) / own_besides
-            self.doubt += _DOUBT_GAIN * (short - self.doubt)
-        self.others = float(max(0, in_flight - own_besides))
+            self.report_shortfall += _DOUBT_GAIN * (short - self.report_shortfall)
+        self.others_in_flight = float(max(0, in_flight - own_besides))
         self.reported_at = now
-        return self.others
+        return self.others_in_flight
 
-    def failed(self, now: Seconds) -> None:
+    def record_failure(self, now: Seconds) -> None:
         """Charge an error as one full target's load, so that failing fast never looks fast."""
         self.error_load = min(self.charged_errors(now), 2.0 * self.slots) + self.slots
         self.error_at = now
         self.errors_in_row += 1
 
-    def succeeded(self) -> None:
+    def record_success(self) -> None:
         """Forget errors in a row; the charged load fades by itself."""
         self.errors_in_row = 0
-        self.aside = False
+        self.ejected = False
         self.trial_running = False
 
-    def take_state(self, incarnation: str | None, *, leaving: bool) -> None:
+    def record_state(self, incarnation: str | None, *, leaving: bool) -> None:
         """Take in the target's own word on whether it leaves.
 
         Leaving is final for one start of a target, whatever a lagging report
@@ -184,19 +184,19 @@
         restarted = incarnation is not None and incarnation != self.incarnation
         if restarted and self.incarnation is not None:
             self.leaving = False
-            self.told_leaving = False
-            self.doubt = 0.0
-            self.rest_until = -math.inf
+            self.reported_leaving = False
+            self.report_shortfall = 0.0
+            self.backoff_until = -math.inf
         if incarnation is not None:
             self.incarnation = incarnation
-        self.told_leaving = self.told_leaving or leaving
+        self.reported_leaving = self.reported_leaving or leaving
         self.leaving = self.leaving or leaving
 
-    def wants_nothing(self, now: Seconds) -> bool:
+    def refuses_work(self, now: Seconds) -> bool:
         """Return whether the target leaves or rests."""
-        return self.leaving or now < self.rest_until
+        return self.leaving or now < self.backoff_until
 
-    def hear_leaving(self, incarnation: str | None) -> None:
+    def record_peer_leaving(self, incarnation: str | None) -> None:
         """Take in a peer's word that this start of the target leaves."""
         if incarnation is not None and self.incarnation not in (None, incarnation):
             return
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -445,7 +445,7 @@
     ),
     Mutant("accept a lower version", settings.SettingsFollower, "poll", _follow_blindly),
     Mutant("drain without waiting for callers", Drain, "start", _drain_at_once),
-    Mutant("ignore that a target leaves", TargetRecord, "take_state", _never_leaving),
+    Mutant("ignore that a target leaves", TargetRecord, "record_state", _never_leaving),
     Mutant("skip the expiry of a lease", seats.SeatHolder, "held", _held_for_ever),
     Mutant("take a seat before its lease lapsed", seats.SeatHolder, "_free", _always_free),
     Mutant("ignore the share of the budget", probes, "probes_per_second", _whole_budget),
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -4,7 +4,7 @@
 
 from dunlinnotch.coordination.choosing.least_load import Chooser, place_shares
 from dunlinnotch.coordination.choosing.subset import assign_subsets
-from dunlinnotch.state.targets import DOUBT_LIMIT, TargetRecord
+from dunlinnotch.state.targets import MAX_REPORT_SHORTFALL, TargetRecord
 
 
 def make(count=4, *, places=("hall-a",), shares=None):
@@ -53,14 +53,14 @@
         chooser.finish(choice.target, flight, now, kind="a", failed=failed)
         sent += failed
     assert sent <= 25
-    assert targets[0].aside
+    assert targets[0].ejected
 
 
 def test_common_fault_does_not_empty_the_pool():
     chooser, targets = make(10)
     for step in range(500):
         call(chooser, step * 0.01, failed=True)
-    assert sum(target.aside for target in targets) <= 4
+    assert sum(target.ejected for target in targets) <= 4
 
 
 def test_target_set_aside_is_tried_with_repeatable_calls_only_and_comes_back():
@@ -68,12 +68,12 @@
     for _ in range(3):
         flight = chooser.begin(targets[0], 0.0, kind="a")
         chooser.finish(targets[0], flight, 0.0, kind="a", failed=True)
-    assert targets[0].aside
+    assert targets[0].ejected
     for _ in range(20):
         assert call(chooser, 5.0, trial_allowed=False) is not targets[0]
     assert chooser.choose(5.0).reason == "trial"
     assert call(chooser, 5.0) is targets[0]
-    assert not targets[0].aside
+    assert not targets[0].ejected
 
 
 def test_lying_target_is_doubted():
@@ -81,7 +81,7 @@
     flights = [chooser.begin(targets[0], 0.0, kind="a") for _ in range(4)]
     for _ in range(20):
         chooser.heard(targets[0], 0.0, 0)
-    assert targets[0].doubt > DOUBT_LIMIT
+    assert targets[0].report_shortfall > MAX_REPORT_SHORTFALL
     assert chooser.score(targets[0], 0.0) * 6 >= len(flights) * 6
 
 
@@ -103,10 +103,10 @@
 
 def test_leaving_is_final_for_one_start_of_a_target():
     target = TargetRecord("10.0.0.1:80", "hall-a", 6)
-    target.take_state("1", leaving=True)
-    target.take_state("1", leaving=False)
+    target.record_state("1", leaving=True)
+    target.record_state("1", leaving=False)
     assert target.leaving
-    target.take_state("2", leaving=False)
+    target.record_state("2", leaving=False)
     assert not target.leaving
 
 
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -114,9 +114,9 @@
 def test_a_new_start_of_a_target_does_not_rest(pool, clock):
     tired, _ = pool.records()
     pool.heard(tired, LoadReport(incarnation="1", rest=3.0))
-    assert tired.wants_nothing(clock())
+    assert tired.refuses_work(clock())
     pool.heard(tired, LoadReport(incarnation="2"))
-    assert not tired.wants_nothing(clock())
+    assert not tired.refuses_work(clock())
 
 
 def test_call_that_would_wait_too_long_is_refused_at_once_with_when_to_come_back(pool, clock):
