--- a/benchmarks/goodput.py
+++ b/benchmarks/goodput.py
@@ -344,7 +344,7 @@
             name="read",
             host=HOST,
             prefix="/",
-            repeatable=True,
+            idempotent=True,
             upload=False,
             timeout=latency * 10 / 3,
             target_latency=latency,
--- a/dunlinnotch/coordination/choosing/asking.py
+++ b/dunlinnotch/coordination/choosing/asking.py
@@ -146,7 +146,7 @@
     def heard(self, instance: Instance, status: TargetStatus) -> None:
         """Take in what a target said with an answer; who waits may use it."""
         self._take_wishes(instance, status)
-        if status.report is None or instance.replaced:
+        if status.report is None or instance.removed:
             return
         instance.record_report(status.report, self._loop.time())
         queue = self._queues.get(instance.listed.service)
@@ -198,7 +198,7 @@
     def _offer(self, queue: ServiceQueue, instance: Instance, asked: Asked | None) -> bool:
         """Hand a target to those that wait, as long as it is good; return if a probe was used."""
         used = False
-        while queue.waiters and not instance.replaced and self._takes(instance):
+        while queue.waiters and not instance.removed and self._takes(instance):
             waiter = queue.first_for(instance, self._loop.time())
             if waiter is None:
                 break
@@ -333,7 +333,7 @@
             self._chooser.failed(instance, self._loop.time())
             return False
         if asked.instance != instance.name:
-            if self._instances.leave(instance.name):
+            if self._instances.remove(instance.name):
                 event(
                     self._log,
                     "target-replaced",
@@ -349,13 +349,13 @@
         # A target that tells no load: what this box has there is all that is known.
         own = TargetReport(instance.in_flight, 0, max(1, instance.listed.slots))
         instance.record_report(status.report or own, self._loop.time())
-        return not instance.replaced
+        return not instance.removed
 
     def _take_wishes(self, instance: Instance, status: TargetStatus) -> None:
         """Keep what a target wants: no work for a while, or none at all."""
         if status.backoff:
             self._take_rest(instance, status.backoff)
-        if status.leaving and self._instances.leave_for_good(instance.name):
+        if status.leaving and self._instances.retire(instance.name):
             event(
                 self._log,
                 "target-leaving",
--- a/dunlinnotch/coordination/choosing/fresh.py
+++ b/dunlinnotch/coordination/choosing/fresh.py
@@ -117,7 +117,7 @@
         usable = [
             i
             for i in instances
-            if i.name not in exclude and not i.replaced and now >= i.backoff_until
+            if i.name not in exclude and not i.removed and now >= i.backoff_until
         ]
         return sorted(usable, key=lambda i: (self._tier(i, now), self._rng.random()))
 
--- a/dunlinnotch/coordination/membership/mesh.py
+++ b/dunlinnotch/coordination/membership/mesh.py
@@ -194,7 +194,7 @@
         """Take over how fresh the sender's tables are where ours are as new."""
         for name, state in word.tables.items():
             table = self._tables.get(name)
-            if table is None or not table.known or state.age_ms < 0:
+            if table is None or not table.loaded or state.age_ms < 0:
                 continue
             at = now - state.age_ms / 1000
             table.confirm(state.changed, state.version, at=at, epoch=state.era)
@@ -206,7 +206,7 @@
             table = self._tables.get(name)
             if table is None or state.age_ms < 0:
                 continue
-            if (state.era, state.changed) > (table.epoch, table.version) or not table.known:
+            if (state.era, state.changed) > (table.epoch, table.version) or not table.loaded:
                 found.append(name)
         return found
 
@@ -303,7 +303,7 @@
         return any(
             self.age(table) > STALE_S
             for table in self._tables.values()
-            if table.known or not patient
+            if table.loaded or not patient
         )
 
     def age(self, table: TableReplica) -> Seconds:
--- a/dunlinnotch/coordination/membership/rows.py
+++ b/dunlinnotch/coordination/membership/rows.py
@@ -119,8 +119,8 @@
     def turn(self, link: LinkState) -> Sync:
         """Return what the peer on ``link`` may not know yet."""
         with self._changed:
-            rows = tuple(r for r in self._all_rows() if r.age_key > link.rows.get(r.name, (0, 0)))
-            link.rows.update({row.name: row.age_key for row in rows})
+            rows = tuple(r for r in self._all_rows() if r.recency > link.rows.get(r.name, (0, 0)))
+            link.rows.update({row.name: row.recency for row in rows})
             tree = self._holder.tree
             edits = tree.edits_after(link.version)
             whole = edits is None or len(edits) > _EDITS_A_TURN
@@ -144,7 +144,7 @@
             now = self._clock()
             self._peer_heard_at = now
             for row in sync.rows:
-                link.rows[row.name] = max(row.age_key, link.rows.get(row.name, (0, 0)))
+                link.rows[row.name] = max(row.recency, link.rows.get(row.name, (0, 0)))
                 self._take_row(row, now)
             self._changed.notify_all()
 
@@ -242,7 +242,7 @@
             self._meet_namesake(row)
             return
         known = self._known.get(row.name)
-        if known is not None and row.age_key <= known.row.age_key:
+        if known is not None and row.recency <= known.row.recency:
             return
         if (
             known is None
--- a/dunlinnotch/coordination/requests/forward.py
+++ b/dunlinnotch/coordination/requests/forward.py
@@ -308,7 +308,7 @@
         if kind is None or kind.service_at(run.point) != pick.instance.listed.service:
             return False
         instance = pick.instance
-        if instance.replaced or self._loop.time() < instance.backoff_until:
+        if instance.removed or self._loop.time() < instance.backoff_until:
             return False
         return self._barred(run) is None
 
@@ -324,7 +324,7 @@
     def _may_repeat(self, run: Run, kind: RequestKind, ended: Ending) -> bool:
         if run.reply.begun or run.sends >= kind.attempts or not run.body.resendable:
             return False
-        return kind.repeatable or not run.may_have_run
+        return kind.idempotent or not run.may_have_run
 
     async def _attempt(self, run: Run, kind: RequestKind, pick: Pick) -> AttemptEnd:
         instance = pick.instance
@@ -347,7 +347,7 @@
                 still=lambda: self._still(run, pick),
                 said=lambda status: self._hear(trial, status),
                 asked=pick.asked,
-                once=not kind.repeatable,
+                once=not kind.idempotent,
             )
             trial.end = type(end).__name__
             if isinstance(end, NotRun | Broken):
@@ -376,7 +376,7 @@
         if isinstance(end, NotRun):
             run.may_have_run = run.ran_before
             if end.elsewhere:
-                self._instances.leave(instance.name)
+                self._instances.remove(instance.name)
                 event(_log, "target-replaced", instance=instance.name, target=instance.address)
             else:
                 self._chooser.refused(instance, run.tries[-1].said, now)
@@ -430,7 +430,7 @@
             answer.close()
 
     def _worth_repeating(self, run: Run, kind: RequestKind) -> bool:
-        if not kind.repeatable or run.sends >= kind.attempts or not run.body.resendable:
+        if not kind.idempotent or run.sends >= kind.attempts or not run.body.resendable:
             return False
         others = [i for i in self._instances.for_service(run.service) if i.name not in run.tried]
         return bool(others)
--- a/dunlinnotch/coordination/settings/beliefs.py
+++ b/dunlinnotch/coordination/settings/beliefs.py
@@ -246,6 +246,6 @@
     def _leave(self, key: str, why: str, *, lost: bool = False) -> None:
         instance = self._instances.find(key)
         # What the store lost may be written again as it was.
-        leave = self._instances.suspend if lost else self._instances.leave
+        leave = self._instances.suspend if lost else self._instances.remove
         if instance is not None and leave(key):
             event(_log, "target-gone", instance=key, target=instance.address, why=why)
--- a/dunlinnotch/coordination/settings/following.py
+++ b/dunlinnotch/coordination/settings/following.py
@@ -134,7 +134,7 @@
         try:
             # A store that was away may have come back from a copy, which only a whole
             # reading shows once its versions have grown past the one known here.
-            delta = await self._changes() if table.known and not self._was_away else None
+            delta = await self._changes() if table.loaded and not self._was_away else None
             if delta is None:
                 sent = self._loop.time()
                 delta = await self._source.read_table(table.name)
--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -324,7 +324,7 @@
             await asyncio.sleep(_LOOK_S)
 
     def _can_serve(self) -> bool:
-        known = self.routes.table is not None and all(t.known for t in self.tables.values())
+        known = self.routes.table is not None and all(t.loaded for t in self.tables.values())
         return known and self.crash_news.may_serve
 
     def _outdated(self) -> bool:
--- a/dunlinnotch/daemon/gossip.py
+++ b/dunlinnotch/daemon/gossip.py
@@ -122,7 +122,7 @@
             self._ask(self._seeds())
             for _ in range(_HEAR_LOOKS):
                 await asyncio.sleep(_HEAR_LOOK_S)
-                if all(table.known for table in self._tables.values()):
+                if all(table.loaded for table in self._tables.values()):
                     return
             wait = _HEAR_FIRST_S + (0.0 if self._mesh.live() else alone)
             if self._loop.time() - began >= wait:
@@ -202,7 +202,7 @@
 
     async def _fetch(self, table: str, peer: Address) -> None:
         followed = self._tables[table]
-        version = followed.version if followed.known else 0
+        version = followed.version if followed.loaded else 0
         sent = self._loop.time()
         try:
             delta, age_ms = await fetch_table(
@@ -225,4 +225,4 @@
         if table == self._settings_table:
             delta = self._routes.told(delta)
         age: Seconds = self._mesh.age(followed)
-        return delta, int(age * 1000) if followed.known else -1
+        return delta, int(age * 1000) if followed.loaded else -1
--- a/dunlinnotch/platform/documents.py
+++ b/dunlinnotch/platform/documents.py
@@ -92,7 +92,7 @@
         slots=_whole(info, "capacity", f"{key}: info.", least=1, most=_SLOTS_MOST),
         leaving=state == "draining",
         sequence=_whole(status, "sequence", f"{key}: status."),
-        cold_s=_time(status, "warmup-left", f"{key}: status.", usual=0.0),
+        slow_start_s=_time(status, "warmup-left", f"{key}: status.", usual=0.0),
         born=_whole(plain, "born", f"{key}: ", least=1) if "born" in plain else 0,
     )
 
@@ -114,7 +114,7 @@
         name=_text(plain, "name", at),
         host=_text(plain, "host", at).lower(),
         prefix=prefix,
-        repeatable=route_type == "safe",
+        idempotent=route_type == "safe",
         upload=route_type == "upload",
         timeout=_time(plain, "timeout", at),
         target_latency=_time(plain, "target-latency", at),
--- a/dunlinnotch/state/boxes.py
+++ b/dunlinnotch/state/boxes.py
@@ -73,6 +73,6 @@
     leaving: Annotated[tuple[LeavingTarget, ...], Field(alias="g")] = ()
 
     @property
-    def age_key(self) -> tuple[int, int]:
+    def recency(self) -> tuple[int, int]:
         """Order of rows of one box: the larger one is newer."""
         return (self.incarnation, self.seq)
--- a/dunlinnotch/state/instances.py
+++ b/dunlinnotch/state/instances.py
@@ -36,7 +36,7 @@
     leaving : bool
     sequence : int
         Grows with each word of one start of the target.
-    cold_s : float
+    slow_start_s : float
         Seconds for which it is still slow from its start.
     born : int, default 0
         Unix milliseconds of its start; 0 where the platform does not tell: there each
@@ -50,7 +50,7 @@
     slots: int
     leaving: bool
     sequence: int
-    cold_s: Seconds
+    slow_start_s: Seconds
     born: int = 0
 
     @property
@@ -73,7 +73,7 @@
     failures: int = 0
     ejected_until: Seconds = 0.0
     backoff_until: Seconds = 0.0
-    replaced: bool = False
+    removed: bool = False
     missing_since: Seconds | None = None
     #: Whether the store lost its row, rather than somebody removed it.
     lost: bool = False
@@ -139,11 +139,11 @@
             known.listed = listed
             known.missing_since = None
             known.lost = False
-            known.slow_start_until = now + listed.cold_s
+            known.slow_start_until = now + listed.slow_start_s
         self._index()
         return True
 
-    def leave(self, instance: str) -> bool:
+    def remove(self, instance: str) -> bool:
         """Give a target no new work until a newer word; return whether it could get any.
 
         Parameters
@@ -152,7 +152,7 @@
         """
         return self._drop(instance, next_word=True)
 
-    def leave_for_good(self, instance: str) -> bool:
+    def retire(self, instance: str) -> bool:
         """Give a target no new work until it has started again; return whether it could get any.
 
         Parameters
@@ -194,8 +194,8 @@
         """Use a start of a target that is new here; it has nothing of the one before."""
         before = self._instances.get(listed.instance)
         if before is not None:
-            before.replaced = True
-        begun = Instance(listed, slow_start_until=now + listed.cold_s)
+            before.removed = True
+        begun = Instance(listed, slow_start_until=now + listed.slow_start_s)
         begun.backoff_until = self._rests.get(begun.start, 0.0)
         self._instances[listed.instance] = begun
         self._ended.pop(listed.instance, None)
@@ -205,7 +205,7 @@
         self._end(listed.instance, (listed.born, _NEVER))
         if known is None:
             return False
-        known.replaced = True
+        known.removed = True
         self._index()
         return True
 
@@ -215,7 +215,7 @@
             return False
         born, sequence = known.listed.order
         self._end(instance, (born, sequence + next_word))
-        known.replaced = True
+        known.removed = True
         self._index()
         return True
 
--- a/dunlinnotch/state/routes.py
+++ b/dunlinnotch/state/routes.py
@@ -26,7 +26,7 @@
     name : str
     host, prefix : str
         Requests of this host (lower case) whose path begins so.
-    repeatable : bool
+    idempotent : bool
         Whether a request may run more than once without harm.
     upload : bool
         Whether large bodies are usual.
@@ -44,7 +44,7 @@
     name: str
     host: str
     prefix: str
-    repeatable: bool
+    idempotent: bool
     upload: bool
     timeout: Seconds
     target_latency: Seconds
--- a/dunlinnotch/state/table_replica.py
+++ b/dunlinnotch/state/table_replica.py
@@ -11,7 +11,7 @@
     from dunlinnotch.types import Seconds
 
 #: Rows remembered as gone, so that others can be told what went.
-GONE_KEPT = 2000
+MAX_TOMBSTONES = 2000
 
 
 class TableRow(NamedTuple):
@@ -95,7 +95,7 @@
         return list(self._rows.values())
 
     @property
-    def known(self) -> bool:
+    def loaded(self) -> bool:
         """Whether the table has been read, directly or through a peer."""
         return self.verified_at is not None
 
@@ -123,7 +123,7 @@
         Both tables stood still from ``changed`` to ``version``; where these spans
         meet, they held the same rows.
         """
-        if not self.known or (epoch, changed) > (self.epoch, self.version):
+        if not self.loaded or (epoch, changed) > (self.epoch, self.version):
             return False
         if epoch == self.epoch and self.changed <= version:
             self.changed = max(self.changed, changed)
@@ -142,10 +142,10 @@
             what was written anew below their version.
         """
         epoch = self.epoch if delta.epoch is None else delta.epoch
-        later_epoch = self.known and epoch > self.epoch
+        later_epoch = self.loaded and epoch > self.epoch
         if epoch < self.epoch or (later_epoch and not delta.is_snapshot):
             return False
-        if not later_epoch and self.known and delta.version <= self.version:
+        if not later_epoch and self.loaded and delta.version <= self.version:
             if delta.version == self.version:
                 self.verify(at)
             return False
@@ -211,7 +211,7 @@
     def _remove(self, key: str, version: int) -> TableRow:
         self._rows.pop(key, None)
         gone = self._gone[key] = TableRow(key, version, None)
-        while len(self._gone) > GONE_KEPT:
+        while len(self._gone) > MAX_TOMBSTONES:
             oldest = min(self._gone.values(), key=_by_version)
             self._gone_floor = max(self._gone_floor, oldest.version)
             del self._gone[oldest.key]
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -350,9 +350,7 @@
     ),
     Mutant("grant no rest", InstanceList, "back_off", _grant_no_rest, REST),
     Mutant("let all wait though all rest", InstanceList, "backoff_left", _rest_is_no_reason, REST),
-    Mutant(
-        "hear no target say it leaves", InstanceList, "leave_for_good", _hear_no_leaving, LEAVING
-    ),
+    Mutant("hear no target say it leaves", InstanceList, "retire", _hear_no_leaving, LEAVING),
     Mutant("set no target aside that refuses", FreshChooser, "refused", _blame_nobody, REST),
     Mutant("try any number of targets", Forwarder, "_may_repeat", _any_number_of_tries, ENTRY),
     Mutant("give targets three seconds more", WorkerDialect, "request_headers", _more_time, ENTRY),
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -56,7 +56,7 @@
 
 def test_a_row_tells_the_start_of_its_target():
     target = documents.read_worker("i-1", json.dumps(ROW).encode())
-    assert (target.born, target.sequence, target.cold_s) == (1796261205053, 4, 1.5)
+    assert (target.born, target.sequence, target.slow_start_s) == (1796261205053, 4, 1.5)
     before = changed(ROW, "born", REMOVED)
     assert documents.read_worker("i-1", json.dumps(before).encode()).born == 0
 
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -511,7 +511,7 @@
                 if not slow:
                     slow.append(pool.address)
                     leaving = next(i for i in box.instances.all() if i.address == pool.address)
-                    box.instances.leave(leaving.name)
+                    box.instances.remove(leaving.name)
                 return link
 
             monkeypatch.setattr(LinkPool, "take", take_slowly)
--- a/tests/test_instances.py
+++ b/tests/test_instances.py
@@ -45,7 +45,7 @@
 def test_a_row_that_vanished_comes_back_by_a_newer_word_only(sequence, back):
     instances = InstanceList()
     instances.apply(READY, 0.0)
-    instances.leave("i-1")
+    instances.remove("i-1")
     assert instances.apply(listed(sequence=sequence), 1.0) is back
     assert bool(instances.for_service("loans")) is back
 
@@ -64,7 +64,7 @@
     if left == "said so":
         instances.apply(listed(born=1000, sequence=41, leaving=True), 1.0)
     elif left == "went":
-        instances.leave("i-1")
+        instances.remove("i-1")
     assert instances.apply(listed(born=2000, sequence=0), 2.0)
     assert [i.listed.sequence for i in instances.for_service("loans")] == [0]
 
@@ -75,10 +75,10 @@
     before = instances.find("i-1")
     before.record_report(TargetReport(3, 3, 3), 0.5)
     before.failures, before.ejected_until, before.in_flight = 7, 99.0, 2
-    instances.apply(listed(born=2000, sequence=0, cold_s=3.0), 1.0)
+    instances.apply(listed(born=2000, sequence=0, slow_start_s=3.0), 1.0)
     now = instances.find("i-1")
-    assert before.replaced
-    assert not now.replaced
+    assert before.removed
+    assert not now.removed
     assert (now.report, now.failures, now.ejected_until, now.in_flight) == (None, 0, 0.0, 0)
     assert now.slow_start_until == 4.0
     assert now.start != before.start
@@ -123,13 +123,13 @@
 
     @rule()
     def goes(self):
-        self.instances.leave("i-1")
+        self.instances.remove("i-1")
 
     @rule()
     def says_that_it_leaves(self):
         found = self.instances.find("i-1")
         if found is not None:
-            self.instances.leave_for_good("i-1")
+            self.instances.retire("i-1")
             self.left.add(found.listed.born)
 
     @rule(until=st.floats(1.0, 9.0))
@@ -167,7 +167,7 @@
     instances.back_off(instances.find("i-1"), 30.0)
     instances.back_off(instances.find("i-1"), 20.0)
     assert instances.backoff_left("loans", 10.0) == 20.0
-    instances.leave("i-1")
+    instances.remove("i-1")
     instances.apply(listed(born=1000, sequence=50), 11.0)
     assert instances.find("i-1").backoff_until == 30.0
     assert instances.backoff_left("loans", 31.0) == 0.0
@@ -191,8 +191,8 @@
     instances = InstanceList()
     instances.apply(listed(born=1000), 0.0)
     before = instances.find("i-1")
-    assert instances.leave_for_good("i-1")
-    assert before.replaced
-    assert not instances.leave_for_good("i-1")
+    assert instances.retire("i-1")
+    assert before.removed
+    assert not instances.retire("i-1")
     assert not instances.apply(listed(born=1000, sequence=sequence), 1.0)
     assert instances.apply(listed(born=2000, sequence=0), 2.0)
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -113,7 +113,7 @@
 def test_a_document_becomes_a_route_table():
     table = documents.read_document(json.dumps(document(7)).encode())
     assert table.version == 7
-    assert [(k.name, k.repeatable, k.upload) for k in table.kinds] == [
+    assert [(k.name, k.idempotent, k.upload) for k in table.kinds] == [
         ("read", True, False),
         ("lend", False, False),
         ("load", False, True),
@@ -157,7 +157,7 @@
     }
     listed = documents.read_worker("i-1", json.dumps(row).encode())
     assert (listed.instance, listed.service, listed.place) == ("i-1", "s", "ikeja")
-    assert (listed.slots, listed.leaving, listed.sequence, listed.cold_s) == (3, True, 4, 1.5)
+    assert (listed.slots, listed.leaving, listed.sequence, listed.slow_start_s) == (3, True, 4, 1.5)
 
 
 @pytest.mark.parametrize("data", [b"", b"[]", b"{}", b'{"info":{},"status":{"state":"away"}}'])
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -12,7 +12,7 @@
         name=name,
         host=host,
         prefix=prefix,
-        repeatable=True,
+        idempotent=True,
         upload=False,
         timeout=1.0,
         target_latency=0.1,
--- a/tests/test_table_replica.py
+++ b/tests/test_table_replica.py
@@ -91,7 +91,7 @@
     def read(self, box, whole, keep):
         """Read the store; it has no changes after a version that it lacks."""
         table = self.boxes[box]
-        whole = whole or not table.known or table.version > self.version
+        whole = whole or not table.loaded or table.version > self.version
         delta = self._whole() if whole else self._feed(table.version)
         if keep:
             self.late.append(delta)
@@ -107,8 +107,8 @@
 
     @rule(asker=st.integers(0, 2), teller=st.integers(0, 2))
     def fetch(self, asker, teller):
-        if self.boxes[teller].known and asker != teller:
-            version = self.boxes[asker].version if self.boxes[asker].known else 0
+        if self.boxes[teller].loaded and asker != teller:
+            version = self.boxes[asker].version if self.boxes[asker].loaded else 0
             known = self.boxes[teller]
             delta = known.delta_since(version, self.boxes[asker].epoch)
             self.boxes[asker].apply(delta, at=known.verified_at)
@@ -116,7 +116,7 @@
     @rule(teller=st.integers(0, 2))
     def speak(self, teller):
         table = self.boxes[teller]
-        if table.known:
+        if table.loaded:
             self.words.append((table.changed, table.version, table.epoch, table.verified_at))
 
     @rule(box=st.integers(0, 2), data=st.data())
@@ -126,12 +126,12 @@
             changed, version, epoch, at = data.draw(st.sampled_from(self.words))
             table = self.boxes[box]
             same = table.confirm(changed, version, at=at, epoch=epoch)
-            assert same or not table.known or (table.epoch, table.version) < (epoch, changed)
+            assert same or not table.loaded or (table.epoch, table.version) < (epoch, changed)
 
     @invariant()
     def no_row_changed_between_changed_and_version(self):
         for table in self.boxes:
-            if table.known:
+            if table.loaded:
                 assert table.changed <= table.version
                 spans = range(table.changed, table.version + 1)
                 now = self.states[table.epoch, table.version]
@@ -140,7 +140,7 @@
     @invariant()
     def what_is_known_is_what_the_store_held_when_it_was_verified(self):
         for table in self.boxes:
-            if table.known:
+            if table.loaded:
                 then = self.at[int(table.verified_at)]
                 if then >= (table.epoch, table.version):
                     assert self.states[table.epoch, table.version] == self.states[then]
@@ -148,7 +148,7 @@
     @invariant()
     def each_box_knows_exactly_what_stood_at_its_version(self):
         for number, table in enumerate(self.boxes):
-            if table.known:
+            if table.loaded:
                 rows = {row.key: row.value for row in table.rows}
                 assert rows == self.states[table.epoch, table.version]
                 assert self.seen[number] == rows
@@ -159,7 +159,7 @@
 
 
 def test_what_went_is_told_until_it_is_forgotten(monkeypatch):
-    monkeypatch.setattr("dunlinnotch.state.table_replica.GONE_KEPT", 2)
+    monkeypatch.setattr("dunlinnotch.state.table_replica.MAX_TOMBSTONES", 2)
     table = TableReplica("t", lambda _: None)
     rows = tuple(TableRow(f"k{n}", n, b"x") for n in range(1, 6))
     table.apply(TableDelta("t", 5, True, rows), at=1.0)
