--- a/dunlinnotch/state/crashes.py
+++ b/dunlinnotch/state/crashes.py
@@ -1,4 +1,4 @@
-"""Which targets ended under which requests, as far as this box and its peers saw."""
+"""Records of requests that crashed targets, and the quarantine of such requests."""
 
 from __future__ import annotations
 
@@ -13,30 +13,35 @@
 
     from dunlinnotch.types import Clock, Seconds
 
-#: A request that ended so many targets, one after the other, is sent to no other: fewer
-#: end by chance under requests that only were at the same targets.
+#: Consecutive crashes after which a request is quarantined.  Fewer also occur by chance
+#: for harmless requests that were at the same targets as the one that crashed them.
 QUARANTINE_THRESHOLD = 3
-#: How long a request is barred after its third target, and at most, in seconds; each
-#: further target doubles it.  Targets may have been mended meanwhile, so it is tried again.
+#: Bounds of the quarantine, which doubles with each crash beyond the threshold.  It ends
+#: because targets may have been fixed in the meantime.
 MIN_QUARANTINE_S = 120.0
 MAX_QUARANTINE_S = 600.0
-#: What was seen counts for so long, in seconds: longer than any bar.
+#: Age at which crashes and answers are forgotten; longer than any quarantine.
 RETENTION_S = 1800.0
-#: Requests remembered that are barred, or were answered after targets had ended.
+#: Limit of the conclusive records kept (quarantined, or answered after crashes).
 MAX_CONCLUSIVE_RECORDS = 256
-#: Other requests remembered: twice as many are let grow before the oldest are dropped.
+#: Limit of the other records kept; a sweep is due when twice as many are held.
 _MAX_OTHER_RECORDS = 256
-_SWEEP_AT = MAX_CONCLUSIVE_RECORDS + 2 * _MAX_OTHER_RECORDS
-#: Time between two sweeps, in seconds.
-_SWEEP_S = 1.0
-#: Times told between boxes are rounded to this, in seconds, each way.
+_SWEEP_THRESHOLD = MAX_CONCLUSIVE_RECORDS + 2 * _MAX_OTHER_RECORDS
+_SWEEP_INTERVAL_S = 1.0
+#: Tolerance when times are compared: messages between boxes round them.
 _ROUNDING_S = 0.002
-#: Targets remembered for one request: more than the longest bar needs.
+#: Limit of the targets kept for one request; more than the longest quarantine needs.
 MAX_TARGETS_PER_REQUEST = 16
 
 
 class ServingSpan(NamedTuple):
-    """From when until when a target had a request under which it ended."""
+    """Time span in which a target served a request that was in progress when it crashed.
+
+    Parameters
+    ----------
+    began, ended : float
+        Start of the request and crash of the target, in seconds.
+    """
 
     began: Seconds
     ended: Seconds
@@ -44,22 +49,22 @@
 
 @dataclass(slots=True)
 class CrashRecord:
-    """What is known of one request under which targets ended.
+    """Targets that crashed while serving one request.
 
     Parameters
     ----------
     request : str
-        One of the texts by which the request is known again.
+        One of the fingerprints of the request.
     answers : int, default 0
-        How often a target answered it after others had ended under it.
+        Number of answers received after crashes; each discards the crashes before it.
     answered_at : float, default -inf
-        When it was last answered so.
+        Time of the last such answer.
     targets : dict of str to ServingSpan
-        Starts of targets that ended under it since.
+        Targets that crashed since that answer, by the name of their start.
 
     Notes
     -----
-    Times are seconds of the clock of whoever holds the evidence.
+    Times are in seconds, by the clock of the box that holds the record.
     """
 
     request: str
@@ -69,17 +74,18 @@
 
     @property
     def last_at(self) -> Seconds:
-        """When something was last seen of it."""
+        """Time of the last crash or answer."""
         return max((self.answered_at, *(span.ended for span in self.targets.values())))
 
     @property
     def consecutive_crashes(self) -> int:
-        """How many targets ended one after the other.
+        """Number of crashes whose serving spans do not overlap.
 
         Notes
         -----
-        Targets that had the request at the same time count as one: where many end at
-        once, by a loss of power, a request that many callers send is at all of them.
+        Targets that served the request at the same time count once.  A power loss ends
+        many targets at once, and a request that many callers send is in progress at all
+        of them.
         """
         count, last = 0, -math.inf
         for span in sorted(self.targets.values(), key=_by_end):
@@ -89,7 +95,7 @@
 
     @property
     def quarantined_until(self) -> Seconds:
-        """Until when the request is to be sent to no target; -inf if it may be sent."""
+        """End of the quarantine; -inf if too few targets crashed."""
         beyond = self.consecutive_crashes - QUARANTINE_THRESHOLD
         if beyond < 0:
             return -math.inf
@@ -97,22 +103,28 @@
         return last + min(MAX_QUARANTINE_S, MIN_QUARANTINE_S * float(2**beyond))
 
     def quarantine_left(self, now: Seconds) -> Seconds:
-        """Return how long the request is to be sent to no target; 0 if it may be sent."""
+        """Return the seconds of quarantine left at ``now``; 0 if the request may be sent."""
         return max(0.0, self.quarantined_until - now)
 
     @property
     def is_conclusive(self) -> bool:
-        """Whether it decides something: a request is barred, or it was answered."""
+        """Whether the record causes a quarantine or, by an answer, may end one."""
         return self.answers > 0 or self.consecutive_crashes >= QUARANTINE_THRESHOLD
 
     @property
     def digest(self) -> int:
-        """A number that is equal where the same was seen."""
-        seen = "\0".join((self.request, str(self.answers), *sorted(self.targets)))
-        return int(xxhash.xxh64_intdigest(seen.encode()))
+        """Hash of the request, its number of answers and its crashed targets."""
+        text = "\0".join((self.request, str(self.answers), *sorted(self.targets)))
+        return int(xxhash.xxh64_intdigest(text.encode()))
 
     def merge(self, other: CrashRecord) -> bool:
-        """Take in what somebody else saw of the same request; return whether it was new."""
+        """Merge another record of the same request.
+
+        Returns
+        -------
+        bool
+            Whether this record changed.
+        """
         if other.answers < self.answers:
             return False
         if other.answers > self.answers:
@@ -126,7 +138,7 @@
         return set(youngest) != before
 
     def forget(self, before: Seconds) -> None:
-        """Drop what was seen before a moment."""
+        """Drop crashes up to the time ``before``."""
         for target in [t for t, span in self.targets.items() if span.ended <= before]:
             del self.targets[target]
 
@@ -136,115 +148,136 @@
 
 
 class CrashLog:
-    """The evidence of all boxes; boxes that hold the same judge alike.
+    """Crash records of all boxes; boxes with equal records quarantine the same requests.
 
     Parameters
     ----------
     clock : callable
-        Goes on while the box is suspended.
+        Clock that keeps running while the box is suspended.
 
     Notes
     -----
-    Evidence may arrive in any order, by any way and more than once.  An answer takes back
-    all that was seen before it: requests that end their targets are never answered.
+    Records may be merged in any order and repeatedly.  An answer discards all crashes
+    before it, since a request that crashes its targets is never answered.
     """
 
     def __init__(self, *, clock: Clock) -> None:
         self._clock = clock
-        self._seen: dict[str, CrashRecord] = {}
+        self._records: dict[str, CrashRecord] = {}
         self._swept_at = -math.inf
 
     def __len__(self) -> int:
-        return len(self._seen)
+        return len(self._records)
 
     @property
     def now(self) -> Seconds:
-        """The time by which evidence is dated."""
+        """Current time of the clock that dates the records."""
         return self._clock()
 
     @property
     def conclusive(self) -> list[CrashRecord]:
-        """The evidence that bars a request, or takes back what others may hold."""
+        """Conclusive records that have not expired."""
         now = self._clock()
-        return [e for e in self._seen.values() if e.is_conclusive and e.last_at > now - RETENTION_S]
+        return [
+            r for r in self._records.values() if r.is_conclusive and r.last_at > now - RETENTION_S
+        ]
 
     @property
     def quarantined(self) -> int:
-        """How many requests are to be sent to no target."""
+        """Number of requests in quarantine."""
         now = self._clock()
-        return sum(evidence.quarantined_until > now for evidence in self._seen.values())
+        return sum(record.quarantined_until > now for record in self._records.values())
 
     @property
     def digest(self) -> int:
-        """A number that is equal where two boxes bar the same requests for the same reasons."""
+        """Hash over the conclusive records, by which boxes detect that theirs differ."""
         digest = 0
-        for evidence in self.conclusive:
-            digest ^= evidence.digest
+        for record in self.conclusive:
+            digest ^= record.digest
         return digest
 
     def find(self, request: str) -> CrashRecord | None:
-        """Return the evidence on a request."""
-        return self._seen.get(request)
+        """Return the record of a request, if there is one."""
+        return self._records.get(request)
 
     def record_crashes(
         self, request: str, targets: Mapping[str, ServingSpan]
     ) -> CrashRecord | None:
-        """Note targets that ended under a request; return the evidence if it is new."""
+        """Record targets that crashed while serving a request.
+
+        Returns
+        -------
+        CrashRecord or None
+            The merged record; None if it did not change.
+        """
         return self.merge(self.with_crashes(request, targets))
 
     def with_crashes(self, request: str, targets: Mapping[str, ServingSpan]) -> CrashRecord:
-        """Return what would be known with further targets, without noting them."""
-        known = self._seen.get(request)
-        evidence = CrashRecord(
-            request, 0 if known is None else known.answers, targets=dict(targets)
+        """Return the record of a request with further crashes, without storing it."""
+        existing = self._records.get(request)
+        record = CrashRecord(
+            request, 0 if existing is None else existing.answers, targets=dict(targets)
         )
-        if known is not None:
-            evidence.merge(known)
-        return evidence
+        if existing is not None:
+            record.merge(existing)
+        return record
 
     def record_answer(self, request: str) -> CrashRecord | None:
-        """Note that a target answered a request; return the evidence if that is new."""
-        known = self._seen.get(request)
-        if known is None or not known.targets:
+        """Record that a target answered a request.
+
+        Returns
+        -------
+        CrashRecord or None
+            The updated record; None if no crash was recorded before the answer.
+        """
+        existing = self._records.get(request)
+        if existing is None or not existing.targets:
             return None
-        return self.merge(CrashRecord(request, known.answers + 1, self._clock()))
+        return self.merge(CrashRecord(request, existing.answers + 1, self._clock()))
 
     def merge(self, other: CrashRecord) -> CrashRecord | None:
-        """Take in evidence; return all that is known of its request if some was new."""
+        """Merge a record, from this box or a peer.
+
+        Returns
+        -------
+        CrashRecord or None
+            The merged record; None if ``other`` has expired or added nothing.
+        """
         now = self._clock()
         if other.last_at <= now - RETENTION_S:
             return None
-        if now - self._swept_at >= _SWEEP_S or len(self._seen) >= _SWEEP_AT:
+        if now - self._swept_at >= _SWEEP_INTERVAL_S or len(self._records) >= _SWEEP_THRESHOLD:
             self._sweep(now)
-        known = self._seen.get(other.request) or CrashRecord(other.request)
-        if not known.merge(other):
+        existing = self._records.get(other.request) or CrashRecord(other.request)
+        if not existing.merge(other):
             return None
-        self._seen[other.request] = known
-        return known
+        self._records[other.request] = existing
+        return existing
 
     def quarantine_left(self, request: str) -> Seconds:
-        """Return how long a request is to be sent to no target; 0 if it may be sent."""
-        known = self._seen.get(request)
-        return 0.0 if known is None else known.quarantine_left(self._clock())
+        """Return the seconds of quarantine left for a request; 0 if it may be sent."""
+        existing = self._records.get(request)
+        return 0.0 if existing is None else existing.quarantine_left(self._clock())
 
     def _sweep(self, now: Seconds) -> None:
-        """Drop what has lapsed, and what is too much.
+        """Drop expired records and those beyond the limits.
 
         Notes
         -----
-        Of settled evidence all boxes drop the same: what one dropped by its age would come
-        back from the others.  The rest is passed on only where it is new.
+        Conclusive records are dropped in the order of their requests, which is the same at
+        all boxes.  Were each box to drop its oldest, its peers would send them again and
+        again.  Other records are sent only when they change, so the oldest are dropped.
         """
         self._swept_at = now
-        for request, evidence in list(self._seen.items()):
-            evidence.forget(now - RETENTION_S)
-            if evidence.last_at <= now - RETENTION_S:
-                del self._seen[request]
-        settled = sorted(r for r, e in self._seen.items() if e.is_conclusive)
-        others = [e for e in self._seen.values() if not e.is_conclusive]
-        others.sort(key=lambda evidence: evidence.last_at, reverse=True)
+        for request, record in list(self._records.items()):
+            record.forget(now - RETENTION_S)
+            if record.last_at <= now - RETENTION_S:
+                del self._records[request]
+        requests = sorted(request for request, r in self._records.items() if r.is_conclusive)
+        others = [r for r in self._records.values() if not r.is_conclusive]
+        others.sort(key=lambda record: record.last_at, reverse=True)
         for request in (
-            *settled[MAX_CONCLUSIVE_RECORDS:],
-            *(e.request for e in others[_MAX_OTHER_RECORDS:]),
+            *requests[MAX_CONCLUSIVE_RECORDS:],
+            *(r.request for r in others[_MAX_OTHER_RECORDS:]),
         ):
-            del self._seen[request]
+            del self._records[request]
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -1,4 +1,4 @@
-"""Evidence on requests that end targets: the same at all boxes, whatever the order."""
+"""Crash records converge at all boxes, in whatever order they are merged."""
 
 from __future__ import annotations
 
@@ -33,14 +33,14 @@
 
 
 def targets(count, first=0, *, at=10.0):
-    """Return targets that ended one after the other, the last one at a moment."""
+    """Return targets that crashed one after the other, the last one at ``at``."""
     spans = [
         ServingSpan(at - 0.1 * back - 0.05, at - 0.1 * back) for back in reversed(range(count))
     ]
     return {f"t{first + number}": span for number, span in enumerate(spans)}
 
 
-def test_a_request_is_barred_by_its_third_target_and_tried_again_later():
+def test_a_request_is_quarantined_at_the_threshold_and_released_later():
     clock = Clock()
     log = CrashLog(clock=clock)
     log.record_crashes("r", targets(QUARANTINE_THRESHOLD - 1))
@@ -56,26 +56,26 @@
     assert log.quarantine_left("r") == 0
 
 
-def test_each_further_target_doubles_the_bar_up_to_its_most():
+def test_each_further_crash_doubles_the_quarantine_up_to_the_maximum():
     clock = Clock()
     log = CrashLog(clock=clock)
-    bars = []
+    quarantines = []
     for number in range(2 * MAX_TARGETS_PER_REQUEST):
         log.record_crashes("r", targets(1, number, at=clock.now))
-        bars.append(log.quarantine_left("r"))
+        quarantines.append(log.quarantine_left("r"))
         clock.now += 1
-    assert bars[: QUARANTINE_THRESHOLD + 2] == [
+    assert quarantines[: QUARANTINE_THRESHOLD + 2] == [
         0,
         0,
         MIN_QUARANTINE_S,
         2 * MIN_QUARANTINE_S,
         4 * MIN_QUARANTINE_S,
     ]
-    assert set(bars[QUARANTINE_THRESHOLD + 2 :]) == {MAX_QUARANTINE_S}
+    assert set(quarantines[QUARANTINE_THRESHOLD + 2 :]) == {MAX_QUARANTINE_S}
 
 
-def test_targets_that_end_at_once_count_as_one():
-    """A loss of power ends many targets; what many callers ask for is at all of them."""
+def test_targets_that_crash_at_the_same_time_count_as_one():
+    """A power loss ends many targets, and a popular request is in progress at all of them."""
     clock = Clock()
     log = CrashLog(clock=clock)
     at_once = {f"t{n}": ServingSpan(9.0 + n / 100, 10.0) for n in range(2 * QUARANTINE_THRESHOLD)}
@@ -86,7 +86,7 @@
     assert log.quarantine_left("popular") == 0
 
 
-def test_an_answer_takes_back_what_was_seen_before_it():
+def test_an_answer_discards_the_crashes_before_it():
     clock = Clock()
     log = CrashLog(clock=clock)
     assert log.record_answer("r") is None
@@ -99,7 +99,7 @@
     assert log.quarantine_left("r") == MIN_QUARANTINE_S
 
 
-def test_an_answer_counts_also_where_it_is_heard_before_what_it_takes_back():
+def test_an_answer_counts_also_if_it_arrives_before_the_crashes_it_discards():
     clock = Clock()
     first, second = CrashLog(clock=clock), CrashLog(clock=clock)
     seen = first.record_crashes("r", targets(QUARANTINE_THRESHOLD))
@@ -111,7 +111,7 @@
     assert first.digest == second.digest
 
 
-def test_what_is_remembered_is_bounded():
+def test_the_number_of_records_is_bounded():
     clock = Clock()
     log = CrashLog(clock=clock)
     log.record_crashes("worst", targets(QUARANTINE_THRESHOLD))
@@ -124,8 +124,8 @@
     assert len(log.find("worst").targets) == MAX_TARGETS_PER_REQUEST
 
 
-def test_boxes_that_know_too_much_drop_the_same_and_agree():
-    """Dropped by age, evidence came back from peers for ever: 8 times the processor time."""
+def test_boxes_above_the_limit_drop_the_same_records_and_agree():
+    """If each box dropped its oldest records, its peers would send them again for ever."""
     clock = Clock()
     first, second = CrashLog(clock=clock), CrashLog(clock=clock)
     for number in range(2 * MAX_CONCLUSIVE_RECORDS):
@@ -133,26 +133,26 @@
         second.record_crashes(f"b{number}", targets(QUARANTINE_THRESHOLD))
     for _ in range(3):
         clock.now += 2
-        for one, other in ((first, second), (second, first)):
-            for evidence in one.conclusive:
-                other.merge(from_ages(as_ages(evidence, clock.now), clock.now))
+        for sender, receiver in ((first, second), (second, first)):
+            for record in sender.conclusive:
+                receiver.merge(from_ages(as_ages(record, clock.now), clock.now))
     clock.now += 2
     for log in (first, second):
         log.record_crashes("last", targets(1))
     assert first.digest == second.digest
     assert len(first.conclusive) == MAX_CONCLUSIVE_RECORDS
-    news = [first.merge(from_ages(as_ages(e, clock.now), clock.now)) for e in second.conclusive]
-    assert news == [None] * MAX_CONCLUSIVE_RECORDS
+    updates = [first.merge(from_ages(as_ages(e, clock.now), clock.now)) for e in second.conclusive]
+    assert updates == [None] * MAX_CONCLUSIVE_RECORDS
 
 
-def test_nothing_lapsed_is_taken_in_anew():
+def test_an_expired_record_is_not_merged():
     clock = Clock()
     log = CrashLog(clock=clock)
     assert log.merge(CrashRecord("r", targets=targets(1, at=clock.now - RETENTION_S))) is None
     assert log.digest == 0
 
 
-def test_evidence_survives_the_datagram_by_ages():
+def test_a_record_survives_a_datagram_with_ages_for_times():
     clock = Clock()
     log = CrashLog(clock=clock)
     seen = log.record_crashes("r", targets(2))
@@ -165,7 +165,7 @@
     assert unpack_crashes(pack_crashes(message)) == message
 
 
-def test_nobody_sees_the_future():
+def test_times_in_the_future_become_the_present():
     message = read_crashes(["ended-1", "r", 0, 0, {"t": [-4000, -5000]}])
     assert from_ages(message, 100.0).targets == {"t": (100.0, 100.0)}
 
@@ -186,13 +186,13 @@
         ["ended-1", "r", 0, 0, {5: [2, 1]}],
     ],
 )
-def test_evidence_of_another_shape_is_refused(fields):
+def test_a_report_of_another_shape_is_refused(fields):
     with pytest.raises(ProtocolError):
         read_crashes(fields)
 
 
 @given(st.binary(max_size=60))
-def test_noise_is_no_evidence(data):
+def test_random_bytes_are_refused_or_read_as_a_report(data):
     try:
         seen = unpack_crashes(data)
     except ProtocolError:
@@ -201,57 +201,57 @@
 
 
 class Boxes(RuleBasedStateMachine):
-    """Boxes see targets end and requests answered, and tell each other in any order."""
+    """Boxes record crashes and answers, and send them to each other in any order."""
 
     @initialize(seed=st.integers(0, 100))
     def begin(self, seed):
         self.rng = random.Random(seed)
         self.clock = Clock()
         self.logs = [CrashLog(clock=self.clock) for _ in range(3)]
-        self.told = []
+        self.sent = []
 
     @rule(box=st.integers(0, 2), request=st.sampled_from("rs"), number=st.integers(0, 9))
-    def ended(self, box, request, number):
-        self._tell(self.logs[box].record_crashes(request, targets(1, number, at=self.clock.now)))
+    def crash(self, box, request, number):
+        self._send(self.logs[box].record_crashes(request, targets(1, number, at=self.clock.now)))
 
     @rule(box=st.integers(0, 2), request=st.sampled_from("rs"))
-    def answered(self, box, request):
-        self._tell(self.logs[box].record_answer(request))
+    def answer(self, box, request):
+        self._send(self.logs[box].record_answer(request))
 
     @rule(box=st.integers(0, 2), which=st.integers(0, 1000))
-    def hear(self, box, which):
-        if self.told:
-            message, at = self.told[which % len(self.told)]
-            # It was on its way meanwhile, so it looks younger than it is.
+    def receive(self, box, which):
+        if self.sent:
+            message, at = self.sent[which % len(self.sent)]
+            # The message was in transit meanwhile, so the ages in it are too low.
             self.logs[box].merge(from_ages(message, max(at, self.clock.now - 1)))
 
     @rule(seconds=st.floats(0, 5))
     def wait(self, seconds):
         self.clock.now += seconds
 
-    def _tell(self, evidence):
-        if evidence is not None:
-            self.told.append((as_ages(evidence, self.clock.now), self.clock.now))
+    def _send(self, record):
+        if record is not None:
+            self.sent.append((as_ages(record, self.clock.now), self.clock.now))
 
     @invariant()
-    def boxes_with_one_digest_judge_alike(self):
+    def boxes_with_equal_digests_quarantine_alike(self):
         if not hasattr(self, "logs"):
             return
         for log in self.logs:
             if log.digest == self.logs[0].digest:
                 for request in "rs":
-                    barred = log.quarantine_left(request) > 0
-                    assert barred == (self.logs[0].quarantine_left(request) > 0)
+                    quarantined = log.quarantine_left(request) > 0
+                    assert quarantined == (self.logs[0].quarantine_left(request) > 0)
 
     def teardown(self):
-        """Whoever hears all ends up with the same as all others."""
+        """Boxes that receive all messages end up with equal records."""
         if not hasattr(self, "logs"):
             return
         for log in self.logs:
-            everything = [from_ages(m, at) for m, at in self.told]
+            everything = [from_ages(m, at) for m, at in self.sent]
             self.rng.shuffle(everything)
-            for evidence in everything:
-                log.merge(evidence)
+            for record in everything:
+                log.merge(record)
         assert len({log.digest for log in self.logs}) == 1
 
 
