--- a/dunlinnotch/coordination/choosing/fresh_reports.py
+++ b/dunlinnotch/coordination/choosing/fresh_reports.py
@@ -59,12 +59,12 @@
     """
     report = instance.report
     if report is None or now - instance.reported_at > MAX_REPORT_AGE_S:
-        return _UNKNOWN + instance.own
+        return _UNKNOWN + instance.in_flight
     rounds = 1.0 + max(0.0, overload(instance))
-    cold = _COLD_FACTOR if now < instance.cold_until else 1.0
-    ill = 1.0 if instance.well else _ILL_FACTOR
+    cold = _COLD_FACTOR if now < instance.slow_start_until else 1.0
+    ill = 1.0 if instance.healthy else _ILL_FACTOR
     away = _AWAY if place and instance.listed.place != place else 0.0
-    return max(0.2, report.slowness) * slowed * rounds * cold * ill + away
+    return max(0.2, report.latency_ratio) * slowed * rounds * cold * ill + away
 
 
 def overload(instance: Instance) -> float:
@@ -77,12 +77,12 @@
 def utilisation(instance: Instance) -> float:
     """Return the share of a target's slots in use with one more request."""
     slots = 1 if instance.report is None else max(1, instance.report.slots)
-    return (instance.ahead + 1) / slots
+    return (instance.queued_ahead + 1) / slots
 
 
 def _is_out(instance: Instance, now: Seconds) -> bool:
     """Return whether a target rests or is set aside."""
-    return now < max(instance.rest_until, instance.aside_until)
+    return now < max(instance.backoff_until, instance.ejected_until)
 
 
 class FreshReportChooser:
@@ -115,15 +115,17 @@
         Those that rest are neither asked nor sent anything.
         """
         usable = [
-            i for i in instances if i.name not in exclude and not i.replaced and now >= i.rest_until
+            i
+            for i in instances
+            if i.name not in exclude and not i.removed and now >= i.backoff_until
         ]
         return sorted(usable, key=lambda i: (self._tier(i, now), self._rng.random()))
 
     def _tier(self, instance: Instance, now: Seconds) -> int:
         away = instance.listed.place != self._place
-        if now < instance.aside_until:
+        if now < instance.ejected_until:
             return 5
-        if instance.lapsed_at is not None:
+        if instance.missing_since is not None:
             return 4
         heard = now - instance.reported_at < MAX_REPORT_AGE_S
         if (
@@ -162,7 +164,7 @@
         return self._rng.random() < part
 
     def _slowed(self, instance: Instance) -> float:
-        if instance.ahead == 0:
+        if instance.queued_ahead == 0:
             return 1.0
         return self._latency_model.slowdown(instance.listed.service, utilisation(instance))
 
@@ -173,7 +175,7 @@
         over = instance.failures - _ASIDE_AFTER
         if over >= 0:
             shortest, longest = _ASIDE_S
-            instance.aside_until = now + min(longest, shortest * 2**over)
+            instance.ejected_until = now + min(longest, shortest * 2**over)
 
     def record_refusal(self, instance: Instance, said: TargetStatus, now: Seconds) -> None:
         """Note that a target turned a request away, and what it said with that.
@@ -186,11 +188,11 @@
         387 to 52 of 11,900 (one day of 17 boxes each).
         """
         report = said.report
-        if report is not None and report.running < report.slots and not said.rest:
+        if report is not None and report.running < report.slots and not said.backoff:
             self.record_failure(instance, now)
 
     @staticmethod
     def record_success(instance: Instance) -> None:
         """Note an answer that was as it should be."""
         instance.failures = 0
-        instance.aside_until = 0.0
+        instance.ejected_until = 0.0
--- a/dunlinnotch/coordination/choosing/selector.py
+++ b/dunlinnotch/coordination/choosing/selector.py
@@ -124,7 +124,7 @@
             The same for an end within its timeout; it counts where no target of the
             service has been good for a while.
         """
-        if all(i.name in tried for i in self._instances.of(service)):
+        if all(i.name in tried for i in self._instances.for_service(service)):
             tried = ()
         rest = self.backoff_left(service)
         if rest and self._loop.time() + rest > queue_deadline:
@@ -152,16 +152,16 @@
     def record_status(self, instance: Instance, status: TargetStatus) -> None:
         """Take in what a target said with an answer; who waits may use it."""
         self._take_wishes(instance, status)
-        if status.report is None or instance.replaced:
+        if status.report is None or instance.removed:
             return
-        instance.heard(status.report, self._loop.time())
+        instance.record_report(status.report, self._loop.time())
         queue = self._queues.get(instance.listed.service)
         if queue is not None:
             self._offer(queue, instance, None)
 
     def backoff_left(self, service: str) -> Seconds:
         """Return for how long no target of a service wants anything; 0 if one does."""
-        return self._instances.rest_left(service, self._loop.time())
+        return self._instances.backoff_left(service, self._loop.time())
 
     def _queue(self, service: str) -> ServiceQueue:
         queue = self._queues.get(service)
@@ -175,7 +175,9 @@
     def _known_good(self, service: str, tried: Collection[str]) -> Selection | None:
         """Return a target that is good by a report of the last milliseconds."""
         now = self._loop.time()
-        for instance in self._chooser.order(self._instances.of(service), now, exclude=tried):
+        for instance in self._chooser.order(
+            self._instances.for_service(service), now, exclude=tried
+        ):
             if now - instance.reported_at < MAX_FRESH_AGE_S and self._chooser.is_good(
                 instance, now
             ):
@@ -204,7 +206,7 @@
     def _offer(self, queue: ServiceQueue, instance: Instance, asked: ProbeResult | None) -> bool:
         """Hand a target to those that wait, as long as it is good; return if a probe was used."""
         used = False
-        while queue.waiters and not instance.replaced and self._takes(instance):
+        while queue.waiters and not instance.removed and self._takes(instance):
             waiter = queue.first_for(instance, self._loop.time())
             if waiter is None:
                 break
@@ -221,9 +223,9 @@
         now = self._loop.time()
         report = instance.report
         start = LoadAtSend(
-            queued_ahead=instance.ahead,
+            queued_ahead=instance.queued_ahead,
             slots=max(1, instance.listed.slots if report is None else report.slots),
-            latency_ratio=1.0 if report is None else report.slowness,
+            latency_ratio=1.0 if report is None else report.latency_ratio,
             report_age=now - instance.reported_at,
         )
         pick = Selection(instance, asked, why, self._chooser.expected_ratio(instance, now), start)
@@ -239,8 +241,8 @@
     ) -> Selection | None:
         """Return the best of what is known, if the request may go there."""
         now = self._loop.time()
-        order = self._chooser.order(self._instances.of(queue.service), now, exclude=tried)
-        order = [i for i in order if now >= i.aside_until] or order
+        order = self._chooser.order(self._instances.for_service(queue.service), now, exclude=tried)
+        order = [i for i in order if now >= i.ejected_until] or order
         if not order:
             return None
         best = min(order, key=lambda i: self._chooser.expected_ratio(i, now))
@@ -287,8 +289,10 @@
     def _to_ask(self, queue: ServiceQueue) -> Iterator[Instance]:
         """Yield the targets to ask: none just asked, none whose probes are used up."""
         now = self._loop.time()
-        for instance in self._chooser.order(self._instances.of(queue.service), now, exclude=()):
-            if instance in queue.asking or now - instance.asked_at < _PAUSE_S:
+        for instance in self._chooser.order(
+            self._instances.for_service(queue.service), now, exclude=()
+        ):
+            if instance in queue.asking or now - instance.probed_at < _PAUSE_S:
                 continue
             if self._probes.has_left(instance.name):
                 yield instance
@@ -304,7 +308,7 @@
 
     async def _ask(self, queue: ServiceQueue, instance: Instance, path: str) -> None:
         """Ask one target; what it says is offered to those that wait."""
-        instance.asked_at = self._loop.time()
+        instance.probed_at = self._loop.time()
         patience = self._loop.call_later(_ASK_PATIENCE_S, self._overdue, queue, instance)
         try:
             async with asyncio.timeout(_ASK_LOST_S):
@@ -337,7 +341,7 @@
             self._chooser.record_failure(instance, self._loop.time())
             return False
         if asked.instance != instance.name:
-            if self._instances.leave(instance.name):
+            if self._instances.remove(instance.name):
                 event(
                     self._log,
                     "target-replaced",
@@ -348,18 +352,18 @@
                     now_there=asked.instance,
                 )
             return False
-        instance.well = asked.healthy
+        instance.healthy = asked.healthy
         self._take_wishes(instance, status)
         # A target that tells no load: what this box has there is all that is known.
-        own = TargetReport(instance.own, 0, max(1, instance.listed.slots))
-        instance.heard(status.report or own, self._loop.time())
-        return not instance.replaced
+        own = TargetReport(instance.in_flight, 0, max(1, instance.listed.slots))
+        instance.record_report(status.report or own, self._loop.time())
+        return not instance.removed
 
     def _take_wishes(self, instance: Instance, status: TargetStatus) -> None:
         """Keep what a target wants: no work for a while, or none at all."""
-        if status.rest:
-            self._take_rest(instance, status.rest)
-        if status.leaving and self._instances.leave_for_good(instance.name):
+        if status.backoff:
+            self._take_rest(instance, status.backoff)
+        if status.leaving and self._instances.retire(instance.name):
             event(
                 self._log,
                 "target-leaving",
@@ -375,7 +379,7 @@
         # An idle target that turns requests away looks best of all by its load: without
         # this, the next request went to it after 0.3 s (median, 72 pairs of box and target).
         now = self._loop.time()
-        self._instances.rest(instance, now + rest)
+        self._instances.back_off(instance, now + rest)
         left = self.backoff_left(instance.listed.service)
         if left:
             self._queue(instance.listed.service).refuse_before(now + left)
--- a/dunlinnotch/coordination/requests/crash_guard.py
+++ b/dunlinnotch/coordination/requests/crash_guard.py
@@ -73,7 +73,9 @@
         if not tracked.crashed:
             return max(self._crash_log.quarantine_left(key) for key in tracked.fingerprint)
         now = self._crash_log.now
-        combined = [self._crash_log.with_ended(key, tracked.crashed) for key in tracked.fingerprint]
+        combined = [
+            self._crash_log.with_crashes(key, tracked.crashed) for key in tracked.fingerprint
+        ]
         return max(record.quarantine_left(now) for record in combined)
 
     async def check_target(
@@ -131,5 +133,5 @@
         self, key: str, ended: Mapping[str, ServingSpan], *, answered: bool
     ) -> CrashRecord | None:
         if answered:
-            return self._crash_log.note_answered(key)
-        return self._crash_log.note_ended(key, ended) if ended else None
+            return self._crash_log.record_answer(key)
+        return self._crash_log.record_crashes(key, ended) if ended else None
--- a/dunlinnotch/coordination/requests/forward.py
+++ b/dunlinnotch/coordination/requests/forward.py
@@ -335,12 +335,12 @@
         if kind is None or kind.service_at(run.split_point) != selection.instance.listed.service:
             return False
         instance = selection.instance
-        if instance.replaced or self._loop.time() < instance.rest_until:
+        if instance.removed or self._loop.time() < instance.backoff_until:
             return False
         return self._quarantine_refusal(run) is None
 
     def _no_target_refusal(self, run: Run, service: str) -> Ending:
-        if not self._instances.of(service):
+        if not self._instances.for_service(service):
             detail = f"service {service!r} has no target"
             return Ending(Outcome.NOT_RUN, 503, Reason.NO_TARGET, detail)
         if self._selector.backoff_left(service):
@@ -351,7 +351,7 @@
     def _may_retry(self, run: Run, kind: RequestKind, ended: Ending) -> bool:
         if run.reply.begun or run.sends >= kind.attempts or not run.body.resendable:
             return False
-        return kind.repeatable or not run.may_have_run
+        return kind.idempotent or not run.may_have_run
 
     async def _attempt(self, run: Run, kind: RequestKind, selection: Selection) -> AttemptEnd:
         instance = selection.instance
@@ -363,7 +363,7 @@
         run.tried_instances.add(instance.name)
         run.sends += 1
         run.may_have_run = True
-        instance.own += 1
+        instance.in_flight += 1
         try:
             end = await self._targets.attempt(
                 instance.address,
@@ -374,14 +374,14 @@
                 still=lambda: self._selection_holds(run, selection),
                 said=lambda status: self._record_status(attempt, status),
                 probe_result=selection.probe,
-                once=not kind.repeatable,
+                once=not kind.idempotent,
             )
             attempt.result = type(end).__name__
             if isinstance(end, NotRun | Broken):
                 attempt.status = end.status
             return end
         finally:
-            instance.own -= 1
+            instance.in_flight -= 1
             attempt.took = self._loop.time() - now
 
     def _record_status(self, attempt: Attempt, status: TargetStatus) -> None:
@@ -403,7 +403,7 @@
         if isinstance(end, NotRun):
             run.may_have_run = run.earlier_attempt_may_have_run
             if end.wrong_target:
-                self._instances.leave(instance.name)
+                self._instances.remove(instance.name)
                 event(_log, "target-replaced", instance=instance.name, target=instance.address)
             else:
                 self._chooser.record_refusal(instance, run.attempts[-1].target_status, now)
@@ -459,9 +459,11 @@
             answer.close()
 
     def _should_retry_failure(self, run: Run, kind: RequestKind) -> bool:
-        if not kind.repeatable or run.sends >= kind.attempts or not run.body.resendable:
+        if not kind.idempotent or run.sends >= kind.attempts or not run.body.resendable:
             return False
-        others = [i for i in self._instances.of(run.service) if i.name not in run.tried_instances]
+        others = [
+            i for i in self._instances.for_service(run.service) if i.name not in run.tried_instances
+        ]
         return bool(others)
 
     async def _choose(self, run: Run, kind: RequestKind, service: str) -> Selection | None:
--- a/dunlinnotch/coordination/requests/idempotency.py
+++ b/dunlinnotch/coordination/requests/idempotency.py
@@ -8,7 +8,7 @@
 from dunlinnotch.protocol.answers import parse_idempotency_key
 from dunlinnotch.protocol.attempt import CallerGoneError
 from dunlinnotch.protocol.outcome import CallResult, Outcome, Reason
-from dunlinnotch.state.ledger import Claim, ClaimStatus, KeptAnswer, KeyState, OnceLedger
+from dunlinnotch.state.ledger import Claim, ClaimStatus, IdempotencyLedger, KeyState, StoredAnswer
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -33,13 +33,15 @@
 
     Parameters
     ----------
-    ledger : OnceLedger
+    ledger : IdempotencyLedger
     box : str
     incarnation : int
     clock : callable
     """
 
-    def __init__(self, ledger: OnceLedger, *, box: str, incarnation: int, clock: Clock) -> None:
+    def __init__(
+        self, ledger: IdempotencyLedger, *, box: str, incarnation: int, clock: Clock
+    ) -> None:
         self._ledger = ledger
         self._box = box
         self._incarnation = incarnation
@@ -81,7 +83,7 @@
             end_recorded = True
         finally:
             if not end_recorded:
-                self._ledger.unknown(entry)
+                self._ledger.record_unknown(entry)
         return result
 
     def may_have_run(self, call: Call) -> bool:
@@ -95,7 +97,7 @@
             return False
         if (key.box, key.incarnation) != (self._box, self._incarnation):
             return True
-        return self._ledger.may_know(_ledger_key(call), minted=key.issued_ms / 1000)
+        return self._ledger.may_have_seen(_ledger_key(call), issued_at=key.issued_ms / 1000)
 
     def _claim(self, call: Call, window: Seconds) -> Claim | CallResult:
         if call.idempotency_key is None:
@@ -112,7 +114,7 @@
         if (key.box, key.incarnation) != (self._box, self._incarnation):
             detail = f"only box {key.box}, incarnation {key.incarnation}, may run this key"
             return CallResult(Outcome.UNKNOWN, _CONFLICT, Reason.ONCE_KEY_ELSEWHERE, detail)
-        claim = self._ledger.claim(_ledger_key(call), minted=key.issued_ms / 1000, window=window)
+        claim = self._ledger.claim(_ledger_key(call), issued_at=key.issued_ms / 1000, window=window)
         if claim.status is ClaimStatus.EXPIRED:
             detail = (
                 f"the key is older than {window:g} s; whether the request ran is no longer known"
@@ -129,13 +131,13 @@
         if result.outcome is Outcome.NOT_RUN:
             self._ledger.release(entry)
         elif recorder.complete and recorder.head is not None:
-            self._ledger.answered(entry, KeptAnswer(recorder.head, recorder.body()))
+            self._ledger.record_answer(entry, StoredAnswer(recorder.head, recorder.body()))
         else:
-            self._ledger.unknown(entry)
+            self._ledger.record_unknown(entry)
 
     def _answer_retry(self, entry: KeyEntry, call: Call, reply: ReplySink) -> CallResult:
         state = self._ledger.wait(entry, max(0.0, call.deadline - self._clock()))
-        if not self._ledger.holds(entry):
+        if not self._ledger.is_current(entry):
             return _refuse_retry()
         if state is not KeyState.ANSWERED or entry.answer is None:
             detail = "a request with this key was sent to a target and its result is not known"
--- a/dunlinnotch/coordination/requests/run.py
+++ b/dunlinnotch/coordination/requests/run.py
@@ -92,7 +92,7 @@
             "took_ms": round(self.took * 1000, 1),
             "end": self.result,
             "status": self.status,
-            "rest_s": self.target_status.rest,
+            "rest_s": self.target_status.backoff,
         }
 
 
--- a/dunlinnotch/coordination/settings/following.py
+++ b/dunlinnotch/coordination/settings/following.py
@@ -141,7 +141,7 @@
             # The store may have been restored from a backup during an outage.  Once its
             # versions exceed the one held here, only a full snapshot shows that.
             delta = (
-                await self._fetch_changes() if table.known and not self._was_unavailable else None
+                await self._fetch_changes() if table.loaded and not self._was_unavailable else None
             )
             if delta is None:
                 sent = self._loop.time()
--- a/dunlinnotch/coordination/settings/store_tables.py
+++ b/dunlinnotch/coordination/settings/store_tables.py
@@ -170,7 +170,10 @@
         """Drop targets whose rows are still missing after the grace period."""
         now = self._clock()
         for instance in list(self._instances.all()):
-            if instance.lapsed_at is not None and now - instance.lapsed_at > MISSING_GRACE_S:
+            if (
+                instance.missing_since is not None
+                and now - instance.missing_since > MISSING_GRACE_S
+            ):
                 self._drop(instance.name, "lapsed", lost=instance.lost)
 
     def _parse_row(self, key: str, value: bytes) -> ListedTarget | None:
@@ -208,7 +211,7 @@
             )
             return
         previous = self._instances.find(listed.instance)
-        if self._instances.take(listed, self._clock()):
+        if self._instances.apply(listed, self._clock()):
             event(
                 _log,
                 "target-leaving" if listed.leaving else "target-listed",
@@ -233,7 +236,7 @@
         instance = self._instances.find(key)
         if instance is None:
             return
-        instance.lapsed_at = self._clock()
+        instance.missing_since = self._clock()
         instance.lost = lost
         event(_log, "target-lapsed", instance=key, target=instance.address, lost=lost)
 
@@ -243,13 +246,15 @@
         services = {i.listed.service for i in instances}
         for service in services:
             lost = sum(i.listed.service == service for i in instances)
-            if lost > 2 and lost > _MASS_DISAPPEARANCE_SHARE * len(self._instances.of(service)):
+            if lost > 2 and lost > _MASS_DISAPPEARANCE_SHARE * len(
+                self._instances.for_service(service)
+            ):
                 return True
         return False
 
     def _drop(self, key: str, why: str, *, lost: bool = False) -> None:
         instance = self._instances.find(key)
         # A row that the store lost may be written again unchanged.
-        remove = self._instances.suspend if lost else self._instances.leave
+        remove = self._instances.suspend if lost else self._instances.remove
         if instance is not None and remove(key):
             event(_log, "target-gone", instance=key, target=instance.address, why=why)
--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -336,7 +336,7 @@
             await asyncio.sleep(_MAINTENANCE_INTERVAL_S)
 
     def _can_serve(self) -> bool:
-        tables_ready = self.routes.table is not None and all(t.known for t in self.tables.values())
+        tables_ready = self.routes.table is not None and all(t.loaded for t in self.tables.values())
         return tables_ready and self.crash_gossip.may_serve
 
     def _is_outdated(self) -> bool:
--- a/dunlinnotch/daemon/gossip.py
+++ b/dunlinnotch/daemon/gossip.py
@@ -124,7 +124,7 @@
             self._request_heartbeats(self._seeds())
             for _ in range(_POLLS_PER_REQUEST):
                 await asyncio.sleep(_SYNC_POLL_INTERVAL_S)
-                if all(table.known for table in self._tables.values()):
+                if all(table.loaded for table in self._tables.values()):
                     return
             wait = _INITIAL_SYNC_S + (0.0 if self._mesh.live() else extra)
             if self._loop.time() - started_at >= wait:
@@ -216,7 +216,7 @@
     async def _fetch(self, table: str, peer: Address) -> None:
         """Fetch from a peer the changes of a table since the local version, and apply them."""
         replica = self._tables[table]
-        version = replica.version if replica.known else 0
+        version = replica.version if replica.loaded else 0
         sent_at = self._loop.time()
         try:
             delta, age_ms = await fetch_table(
@@ -245,4 +245,4 @@
         if table == self._settings_table:
             delta = self._routes.with_active_settings(delta)
         age: Seconds = self._mesh.age(replica)
-        return delta, int(age * 1000) if replica.known else -1
+        return delta, int(age * 1000) if replica.loaded else -1
--- a/dunlinnotch/daemon/operator.py
+++ b/dunlinnotch/daemon/operator.py
@@ -120,11 +120,11 @@
                 target.address,
                 target.place,
                 round(score, 3),
-                target.own,
-                round(target.others, 2),
-                round(target.doubt, 3),
+                target.own_in_flight,
+                round(target.others_in_flight, 2),
+                round(target.report_shortfall, 3),
                 target.leaving,
-                target.aside,
+                target.ejected,
             )
             for target, score in scores
         )
--- a/dunlinnotch/platform/documents.py
+++ b/dunlinnotch/platform/documents.py
@@ -92,7 +92,7 @@
         slots=_read_integer(info, "capacity", f"{key}: info.", minimum=1, maximum=_MAX_SLOTS),
         leaving=state == "draining",
         sequence=_read_integer(status, "sequence", f"{key}: status."),
-        cold_s=_read_duration(status, "warmup-left", f"{key}: status.", default=0.0),
+        slow_start_s=_read_duration(status, "warmup-left", f"{key}: status.", default=0.0),
         born=_read_integer(fields, "born", f"{key}: ", minimum=1) if "born" in fields else 0,
     )
 
@@ -114,7 +114,7 @@
         name=_read_text(fields, "name", parent),
         host=_read_text(fields, "host", parent).lower(),
         prefix=prefix,
-        repeatable=route_type == "safe",
+        idempotent=route_type == "safe",
         upload=route_type == "upload",
         timeout=_read_duration(fields, "timeout", parent),
         target_latency=_read_duration(fields, "target-latency", parent),
--- a/dunlinnotch/state/instances.py
+++ b/dunlinnotch/state/instances.py
@@ -36,7 +36,7 @@
     leaving : bool
     sequence : int
         Grows with each word of one start of the target.
-    cold_s : float
+    slow_start_s : float
         Seconds for which it is still slow from its start.
     born : int, default 0
         Unix milliseconds of its start; 0 where the platform does not tell: there each
@@ -50,7 +50,7 @@
     slots: int
     leaving: bool
     sequence: int
-    cold_s: Seconds
+    slow_start_s: Seconds
     born: int = 0
 
     @property
@@ -64,20 +64,20 @@
     """One target with what this box has seen of it."""
 
     listed: ListedTarget
-    cold_until: Seconds = 0.0
-    own: int = 0
+    slow_start_until: Seconds = 0.0
+    in_flight: int = 0
     sent_since_report: int = 0
     report: TargetReport | None = None
     reported_at: Seconds = -1e9
-    asked_at: Seconds = -1e9
+    probed_at: Seconds = -1e9
     failures: int = 0
-    aside_until: Seconds = 0.0
-    rest_until: Seconds = 0.0
-    replaced: bool = False
-    lapsed_at: Seconds | None = None
+    ejected_until: Seconds = 0.0
+    backoff_until: Seconds = 0.0
+    removed: bool = False
+    missing_since: Seconds | None = None
     #: Whether the store lost its row, rather than somebody removed it.
     lost: bool = False
-    well: bool = True
+    healthy: bool = True
 
     @property
     def name(self) -> str:
@@ -95,13 +95,13 @@
         return self.listed.address
 
     @property
-    def ahead(self) -> int:
+    def queued_ahead(self) -> int:
         """Requests there, as far as this box knows: by its last report, and sent since."""
         report = self.report
-        known = self.own if report is None else report.running + report.waiting
+        known = self.in_flight if report is None else report.running + report.waiting
         return known + self.sent_since_report
 
-    def heard(self, report: TargetReport, now: Seconds) -> None:
+    def record_report(self, report: TargetReport, now: Seconds) -> None:
         """Take in what the target says of its load."""
         self.report = report
         self.reported_at = now
@@ -124,7 +124,7 @@
         self._rests: dict[str, Seconds] = {}
         self._by_service: dict[str, list[Instance]] = {}
 
-    def take(self, listed: ListedTarget, now: Seconds) -> bool:
+    def apply(self, listed: ListedTarget, now: Seconds) -> bool:
         """Take in one row of the list; return whether it changed anything."""
         known = self._instances.get(listed.instance)
         if listed.order < self._ended.get(listed.instance, (-1, -1)):
@@ -137,13 +137,13 @@
             self._begin(listed, now)
         else:
             known.listed = listed
-            known.lapsed_at = None
+            known.missing_since = None
             known.lost = False
-            known.cold_until = now + listed.cold_s
+            known.slow_start_until = now + listed.slow_start_s
         self._index()
         return True
 
-    def leave(self, instance: str) -> bool:
+    def remove(self, instance: str) -> bool:
         """Give a target no new work until a newer word; return whether it could get any.
 
         Parameters
@@ -152,7 +152,7 @@
         """
         return self._drop(instance, next_word=True)
 
-    def leave_for_good(self, instance: str) -> bool:
+    def retire(self, instance: str) -> bool:
         """Give a target no new work until it has started again; return whether it could get any.
 
         Parameters
@@ -171,7 +171,7 @@
         """
         return self._drop(instance, next_word=False)
 
-    def rest(self, instance: Instance, until: Seconds) -> None:
+    def back_off(self, instance: Instance, until: Seconds) -> None:
         """Have a target rest until a moment, also if its row goes and comes back meanwhile.
 
         Parameters
@@ -180,21 +180,23 @@
         until : float
             Monotonic seconds; a rest granted before is not made shorter.
         """
-        instance.rest_until = max(instance.rest_until, until)
-        self._rests[instance.start] = instance.rest_until
+        instance.backoff_until = max(instance.backoff_until, until)
+        self._rests[instance.start] = instance.backoff_until
         _keep_newest(self._rests, _RESTS_KEPT)
 
-    def rest_left(self, service: str, now: Seconds) -> Seconds:
+    def backoff_left(self, service: str, now: Seconds) -> Seconds:
         """Return for how long all targets of a service still rest; 0 if one does not."""
-        return max(0.0, min((i.rest_until for i in self.of(service)), default=0.0) - now)
+        return max(
+            0.0, min((i.backoff_until for i in self.for_service(service)), default=0.0) - now
+        )
 
     def _begin(self, listed: ListedTarget, now: Seconds) -> None:
         """Use a start of a target that is new here; it has nothing of the one before."""
         before = self._instances.get(listed.instance)
         if before is not None:
-            before.replaced = True
-        begun = Instance(listed, cold_until=now + listed.cold_s)
-        begun.rest_until = self._rests.get(begun.start, 0.0)
+            before.removed = True
+        begun = Instance(listed, slow_start_until=now + listed.slow_start_s)
+        begun.backoff_until = self._rests.get(begun.start, 0.0)
         self._instances[listed.instance] = begun
         self._ended.pop(listed.instance, None)
 
@@ -203,7 +205,7 @@
         self._end(listed.instance, (listed.born, _NEVER))
         if known is None:
             return False
-        known.replaced = True
+        known.removed = True
         self._index()
         return True
 
@@ -213,11 +215,11 @@
             return False
         born, sequence = known.listed.order
         self._end(instance, (born, sequence + next_word))
-        known.replaced = True
+        known.removed = True
         self._index()
         return True
 
-    def of(self, service: str) -> list[Instance]:
+    def for_service(self, service: str) -> list[Instance]:
         """Return the targets of a service."""
         return self._by_service.get(service, [])
 
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -44,7 +44,7 @@
 from dunlinnotch.protocol.relay import Verdict
 from dunlinnotch.state.crashes import CrashRecord
 from dunlinnotch.state.instances import InstanceList, ListedTarget
-from dunlinnotch.state.ledger import Claim, ClaimStatus, KeyEntry, OnceLedger
+from dunlinnotch.state.ledger import Claim, ClaimStatus, IdempotencyLedger, KeyEntry
 from dunlinnotch.state.table_replica import TableReplica
 from dunlinnotch.state.targets import TargetRecord
 from dunlinnotch.state.tree import SettingsTree
@@ -133,7 +133,7 @@
     return False
 
 
-def _claim_always(self, key, *, minted, window):
+def _claim_always(self, key, *, issued_at, window):
     return Claim(ClaimStatus.RUN, KeyEntry(key, self._clock()))
 
 
@@ -330,7 +330,7 @@
     Mutant(
         "count targets that ended at once",
         CrashRecord,
-        "in_turn",
+        "consecutive_crashes",
         property(_all_at_once_count),
         "tests/test_crashes.py",
     ),
@@ -348,11 +348,9 @@
         property(_forget_starts),
         "tests/test_instances.py",
     ),
-    Mutant("grant no rest", InstanceList, "rest", _grant_no_rest, REST),
-    Mutant("let all wait though all rest", InstanceList, "rest_left", _rest_is_no_reason, REST),
-    Mutant(
-        "hear no target say it leaves", InstanceList, "leave_for_good", _hear_no_leaving, LEAVING
-    ),
+    Mutant("grant no rest", InstanceList, "back_off", _grant_no_rest, REST),
+    Mutant("let all wait though all rest", InstanceList, "backoff_left", _rest_is_no_reason, REST),
+    Mutant("hear no target say it leaves", InstanceList, "retire", _hear_no_leaving, LEAVING),
     Mutant(
         "set no target aside that refuses",
         FreshReportChooser,
@@ -451,11 +449,11 @@
     ),
     Mutant("accept a lower version", settings.SettingsFollower, "poll", _follow_blindly),
     Mutant("drain without waiting for callers", Drain, "start", _drain_at_once),
-    Mutant("ignore that a target leaves", TargetRecord, "take_state", _never_leaving),
+    Mutant("ignore that a target leaves", TargetRecord, "record_state", _never_leaving),
     Mutant("skip the expiry of a lease", probe_leases.ProbeLeaseHolder, "held", _held_for_ever),
     Mutant("take a lease before it expired", probe_leases.ProbeLeaseHolder, "_free", _always_free),
     Mutant("ignore the share of the budget", probes, "probes_per_second", _whole_budget),
-    Mutant("forget once-keys", OnceLedger, "claim", _claim_always),
+    Mutant("forget once-keys", IdempotencyLedger, "claim", _claim_always),
     Mutant(
         "run a key of another box",
         idempotency,
--- a/tests/test_crash_guard.py
+++ b/tests/test_crash_guard.py
@@ -11,7 +11,7 @@
 from dunlinnotch.coordination.requests.fingerprint import Fingerprint
 from dunlinnotch.protocol.relay import CallerRequest
 from dunlinnotch.standins.users.worker import WorkerSettings
-from dunlinnotch.state.crashes import BAR_AT, CrashLog
+from dunlinnotch.state.crashes import QUARANTINE_THRESHOLD, CrashLog
 from dunlinnotch.state.instances import Instance, ListedTarget
 from tests.stream_world import call, stream_world, until
 from tests.test_crashes import targets
@@ -64,7 +64,7 @@
 
 def test_crashes_of_the_current_request_add_to_recorded_ones():
     crash_guard, log, _ = guard("a", "b", "c")
-    log.note_ended("f", targets(1))
+    log.record_crashes("f", targets(1))
     tracked = TrackedRequest(FINGERPRINT)
     check_targets(crash_guard, tracked, "a")
     assert crash_guard.quarantine_left(tracked) == 0
@@ -84,7 +84,7 @@
 
 def test_an_answer_clears_crashes_reported_by_others():
     crash_guard, log, published = guard()
-    log.note_ended("f", targets(BAR_AT - 1))
+    log.record_crashes("f", targets(QUARANTINE_THRESHOLD - 1))
     crash_guard.record_end(TrackedRequest(FINGERPRINT), answered=True)
     assert [record.answers for record in published] == [1]
     assert log.find("f").targets == {}
@@ -133,8 +133,8 @@
         async with stream_world(workers=0) as world:
             box = world.boxes[0]
             worker = await world.add_worker(WorkerSettings(ends_under=lambda path: path == WORST))
-            await until(lambda: box.instances.of("loans"))
-            for _ in range(BAR_AT - 1):
+            await until(lambda: box.instances.for_service("loans"))
+            for _ in range(QUARANTINE_THRESHOLD - 1):
                 assert (await call(box, WORST, "worst")).status == 502
                 old_instance = worker.instance
                 await worker.start_again()
@@ -145,8 +145,8 @@
                 await until(lambda name=name: box.instances.find(name))
             worker.settings.ends_under = None
             assert (await call(box, WORST, "fixed")).status == 200
-            for record in box.crashes.settled:
+            for record in box.crashes.conclusive:
                 assert (record.answers, record.targets) == (1, {})
-            assert len(box.crashes.settled) == 2
+            assert len(box.crashes.conclusive) == 2
 
     asyncio.run(test())
--- a/tests/test_crashing.py
+++ b/tests/test_crashing.py
@@ -28,7 +28,7 @@
     for _ in range(TARGETS):
         settings = WorkerSettings(ends_under=lambda path: path.startswith("/read/worst"))
         await world.add_worker(settings)
-    await until(lambda: all(len(b.instances.of("loans")) == TARGETS for b in world.boxes))
+    await until(lambda: all(len(b.instances.for_service("loans")) == TARGETS for b in world.boxes))
     await until(lambda: all(b.routes.table.version == 2 for b in world.boxes))
 
 
@@ -99,7 +99,7 @@
             world.boxes.clear()
             box = await world.add_box()
             await world.add_box(seeds=(box.mesh.peer,))
-            await until(lambda: all(b.instances.of("loans") for b in world.boxes))
+            await until(lambda: all(b.instances.for_service("loans") for b in world.boxes))
             await send_worst(world, 8)
             assert crash_count(world) <= 3 + 3
 
--- a/tests/test_documents.py
+++ b/tests/test_documents.py
@@ -56,7 +56,7 @@
 
 def test_row_holds_the_start_time_of_its_target():
     target = documents.read_worker("i-1", json.dumps(ROW).encode())
-    assert (target.born, target.sequence, target.cold_s) == (1796261205053, 4, 1.5)
+    assert (target.born, target.sequence, target.slow_start_s) == (1796261205053, 4, 1.5)
     without_start = changed(ROW, "born", REMOVED)
     assert documents.read_worker("i-1", json.dumps(without_start).encode()).born == 0
 
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -94,7 +94,7 @@
         async with stream_world(workers=0) as world:
             for _ in range(3):
                 await world.add_worker()
-            await until(lambda: len(world.boxes[0].instances.of("loans")) == 3)
+            await until(lambda: len(world.boxes[0].instances.for_service("loans")) == 3)
             # The first two attempts get an invalid answer, whichever targets they use.
             faults = [fault, fault]
             for worker in world.workers:
@@ -119,7 +119,7 @@
         async with stream_world(workers=0) as world:
             worker = await world.add_worker()
             box = world.boxes[0]
-            await until(lambda: box.instances.of("loans"))
+            await until(lambda: box.instances.for_service("loans"))
             # The worker crashes during the request, so the retry can't connect.
             worker.settings.ends_under = lambda path: True
             assert (await call(box, "/read/", "ran")).status == 502
@@ -133,7 +133,7 @@
         async with stream_world(workers=0) as world:
             first = await world.add_worker(WorkerSettings(faults=[WorkerFault.LOST]))
             box = world.boxes[0]
-            await until(lambda: box.instances.of("loans"))
+            await until(lambda: box.instances.for_service("loans"))
             assert (await call(box, "/lend/", "lost", method="POST", body=b"x")).status == 502
             assert not logged_events(caplog, "target-ended")
             first.settings.ends_under = lambda path: path.endswith("worst")
@@ -182,7 +182,7 @@
         async with stream_world() as world:
             await world.add_worker(WorkerSettings(slots=1, queue=0))
             box = world.boxes[0]
-            await until(lambda: len(box.instances.of("loans")) == 2)
+            await until(lambda: len(box.instances.for_service("loans")) == 2)
             saturated = world.workers[1]
             saturated.hold = asyncio.Event()
             saturated.settings.queue = -1  # refuses all requests, whatever load it reports
@@ -241,7 +241,7 @@
         async with stream_world(workers=0) as world:
             worker = await world.add_worker(WorkerSettings(slots=1, queue=1, hangs_when_full=True))
             box = world.boxes[0]
-            await until(lambda: box.instances.of("loans"))
+            await until(lambda: box.instances.for_service("loans"))
             worker.hold = asyncio.Event()
             held = [asyncio.create_task(call(box, "/read/", "held"))]
             await until(lambda: len(worker.arrivals) == 1)
@@ -262,7 +262,7 @@
         async with stream_world(workers=0) as world:
             worker = await world.add_worker(WorkerSettings(work_s=0.05))
             box = world.boxes[0]
-            await until(lambda: box.instances.of("loans"))
+            await until(lambda: box.instances.for_service("loans"))
             assert (await call(box, "/lend/", "first", method="POST", body=b"x")).status == 200
             usual = box.work_times.usual_latency("lend")
             worker.settings.work_s = 0.0
@@ -280,7 +280,7 @@
         async with stream_world(workers=0) as world:
             worker = await world.add_worker(WorkerSettings(work_s=0.05))
             box = world.boxes[0]
-            await until(lambda: box.instances.of("loans"))
+            await until(lambda: box.instances.for_service("loans"))
             for number in range(3):
                 assert (
                     await call(box, "/lend/", f"r{number}", method="POST", body=b"x")
@@ -305,19 +305,19 @@
             other = await world.add_worker(service="other")
             world.store.put("op", "config", document(4, services=("other", "loans")))
             await until(lambda: box.routes.table.version == 4)
-            await until(lambda: box.instances.of("other"))
+            await until(lambda: box.instances.for_service("other"))
             assert (await call(box, "/read/", "moved")).status == 200
             assert [r.request_id for r in other.ran] == ["moved"]
             world.store.put(
                 "servers", other.instance, other.row("other", zone="hall-a", state="draining")
             )
-            await until(lambda: not box.instances.of("other"))
+            await until(lambda: not box.instances.for_service("other"))
             assert (await call(box, "/read/", "none")).status == 503
             # A row with an older sequence number does not make the target available again.
             world.store.put("servers", other.instance, other.row("other", zone="hall-a"))
             world.store.put("servers", "i-new", other.row("loans", zone="hall-a", sequence=9))
             await until(lambda: box.instances.find("i-new"))
-            assert not box.instances.of("other")
+            assert not box.instances.for_service("other")
 
     run(test)
 
@@ -376,7 +376,7 @@
             held = asyncio.create_task(call(box, "/lend/", "held", method="POST", body=b"x"))
             await until(lambda: world.ran == ["held"])
             world.store.put("servers", worker.instance, b"bad")
-            await until(lambda: not box.instances.of("loans"))
+            await until(lambda: not box.instances.for_service("loans"))
             worker.hold.set()
             assert (await held).status == 200
 
@@ -390,13 +390,17 @@
             box = world.boxes[0]
             row = worker.row("loans", zone="hall-a", sequence=9)
             world.store.put("servers", worker.instance, {**row, "born": 1000})
-            await until(lambda: [i.listed.born for i in box.instances.of("loans")] == [1000])
+            await until(
+                lambda: [i.listed.born for i in box.instances.for_service("loans")] == [1000]
+            )
             leaving = worker.row("loans", zone="hall-a", sequence=10, state="draining")
             world.store.put("servers", worker.instance, {**leaving, "born": 1000})
-            await until(lambda: not box.instances.of("loans"))
+            await until(lambda: not box.instances.for_service("loans"))
             restarted = worker.row("loans", zone="hall-a", sequence=0)
             world.store.put("servers", worker.instance, {**restarted, "born": 2000})
-            await until(lambda: [i.listed.born for i in box.instances.of("loans")] == [2000])
+            await until(
+                lambda: [i.listed.born for i in box.instances.for_service("loans")] == [2000]
+            )
             assert (await call(box, "/read/x", "x")).status == 200
 
     run(test)
@@ -437,7 +441,7 @@
             world.store.remove("servers", world.workers[0].instance)
             world.store.forget_history()
             await until(lambda: box.routes.table.version == 2)
-            await until(lambda: not box.instances.of("loans"))
+            await until(lambda: not box.instances.for_service("loans"))
 
     run(test)
 
@@ -504,7 +508,7 @@
                 if not leaving_address:
                     leaving_address.append(pool.address)
                     leaving = next(i for i in box.instances.all() if i.address == pool.address)
-                    box.instances.leave(leaving.name)
+                    box.instances.remove(leaving.name)
                 return link
 
             monkeypatch.setattr(LinkPool, "take", connect_while_leaving)
@@ -528,7 +532,7 @@
             caplog.set_level("INFO")
             world.store.put("op", "config", document(2, **{"max-attempts": 1}))
             await world.add_worker(WorkerSettings(turns_away=lambda: True, rest="2.5"))
-            await until(lambda: world.boxes[0].instances.of("loans"))
+            await until(lambda: world.boxes[0].instances.for_service("loans"))
             await until(lambda: world.boxes[0].routes.table.version == 2)
             await call(world.boxes[0], "/read/a", "one")
             (line,) = logged_events(caplog, "route")
--- a/tests/test_leaving_targets.py
+++ b/tests/test_leaving_targets.py
@@ -30,7 +30,7 @@
             box = world.boxes[0]
             if not probes:
                 box.selector._probe_path = lambda service: ""
-            await until(lambda: len(box.instances.of("loans")) == 2)
+            await until(lambda: len(box.instances.for_service("loans")) == 2)
             leaving = world.workers[0]
             leaving.settings.leaving = True
             number = 0
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -107,7 +107,7 @@
 def test_document_is_converted_to_a_route_table():
     table = documents.read_document(json.dumps(document(7)).encode())
     assert table.version == 7
-    assert [(k.name, k.repeatable, k.upload) for k in table.kinds] == [
+    assert [(k.name, k.idempotent, k.upload) for k in table.kinds] == [
         ("read", True, False),
         ("lend", False, False),
         ("load", False, True),
@@ -151,7 +151,7 @@
     }
     target = documents.read_worker("i-1", json.dumps(row).encode())
     assert (target.instance, target.service, target.place) == ("i-1", "s", "ikeja")
-    assert (target.slots, target.leaving, target.sequence, target.cold_s) == (3, True, 4, 1.5)
+    assert (target.slots, target.leaving, target.sequence, target.slow_start_s) == (3, True, 4, 1.5)
 
 
 @pytest.mark.parametrize("data", [b"", b"[]", b"{}", b'{"info":{},"status":{"state":"away"}}'])
@@ -233,7 +233,7 @@
     if report is None:
         assert parsed is None
     else:
-        assert (parsed.running, parsed.waiting, parsed.slots, parsed.slowness) == report
+        assert (parsed.running, parsed.waiting, parsed.slots, parsed.latency_ratio) == report
 
 
 @pytest.mark.parametrize(
@@ -255,7 +255,7 @@
 )
 def test_backoff_is_read_from_refusals_only(status, value, backoff):
     headers = () if value is None else (Header("Retry-After", value),)
-    assert WorkerDialect().status(AnswerHead(status, "", headers, 0)).rest == backoff
+    assert WorkerDialect().status(AnswerHead(status, "", headers, 0)).backoff == backoff
 
 
 def test_table_is_read_in_pages_and_followed(monkeypatch):
--- a/tests/test_selector.py
+++ b/tests/test_selector.py
@@ -42,7 +42,7 @@
         instances = InstanceList()
         for place, name in names:
             listed = ListedTarget(name, "s", place, f"{name}:1", 3, False, 1, 0.0)
-            instances.take(listed, 0.0)
+            instances.apply(listed, 0.0)
         targets = Targets(slowness or {}, running)
         probes = ProbeShare(probes_per_s, clock=lambda: 100.0)
         rng = random.Random(1)
@@ -59,7 +59,7 @@
         for _ in range(times):
             # What was heard before is as good as forgotten.
             for instance in instances.all():
-                instance.reported_at = instance.asked_at = -1e9
+                instance.reported_at = instance.probed_at = -1e9
             picks.append(await selector.choose("s", rank=0, tried=(), queue_deadline=0.0, **limits))
         return [pick and (pick.instance.name, pick.reason) for pick in picks], targets.asked
 
@@ -162,9 +162,9 @@
 
 async def answered_slowly(instances, targets, choose):
     """Return what is chosen for a request while the only target says that it is slow."""
-    (instance,) = instances.of("s")
+    (instance,) = instances.for_service("s")
     # What was heard before is as good as forgotten.
-    instance.reported_at = instance.asked_at = -1e9
+    instance.reported_at = instance.probed_at = -1e9
     task = choose(wait=0.0)
     await turns()
     if targets.waiting:
@@ -203,7 +203,7 @@
     async def bounded():
         instances = InstanceList()
         for place, name in names:
-            instances.take(ListedTarget(name, "s", place, f"{name}:1", 3, False, 1, 0.0), 0.0)
+            instances.apply(ListedTarget(name, "s", place, f"{name}:1", 3, False, 1, 0.0), 0.0)
         targets = SlowTargets()
         loop = asyncio.get_running_loop()
         selector = TargetSelector(
@@ -269,7 +269,7 @@
     async def act(selector, instances, targets, choose):
         waiting = [choose() for _ in range(3)]
         await turns()
-        (instance,) = instances.of("s")
+        (instance,) = instances.for_service("s")
         # One of three slots is taken; a third one would be slow.
         selector.record_status(instance, TargetStatus(TargetReport(1, 0, 3)))
         await turns()
@@ -302,7 +302,7 @@
         targets.answer("t-0")
         first.cancel()
         await turns()
-        (instance,) = instances.of("s")
+        (instance,) = instances.for_service("s")
         assert first.cancelled()
         # Whoever comes next finds the target as free as before.
         assert second.done()
@@ -326,8 +326,8 @@
 
 # -- targets that rest
 
-REST = TargetStatus(TargetReport(0, 0, 3), rest=30.0)
-SHORT_REST = TargetStatus(TargetReport(0, 0, 3), rest=0.05)
+REST = TargetStatus(TargetReport(0, 0, 3), backoff=30.0)
+SHORT_REST = TargetStatus(TargetReport(0, 0, 3), backoff=0.05)
 
 
 def test_a_target_that_asks_for_rest_is_not_handed_to_those_that_wait():
--- a/tests/test_store_tables.py
+++ b/tests/test_store_tables.py
@@ -49,7 +49,7 @@
     clock, instances, targets = listed(6)
     targets.apply([TableRow(str(n), 9, None) for n in range(1, 6)])
     assert len(names(instances)) == 6
-    assert [i.name for i in instances.all() if i.lapsed_at is None] == ["6"]
+    assert [i.name for i in instances.all() if i.missing_since is None] == ["6"]
     targets.apply([TableRow("1", 10, b"2")])
     clock.now += MISSING_GRACE_S + 0.1
     targets.expire()
@@ -74,7 +74,7 @@
     targets.apply(lost)
     assert len(names(instances)) == 6
     targets.apply([TableRow("1", 10, b"1")])
-    assert [i.name for i in instances.all() if i.lapsed_at is not None] == ["2"]
+    assert [i.name for i in instances.all() if i.missing_since is not None] == ["2"]
     clock.now += MISSING_GRACE_S + 0.1
     targets.expire()
     assert names(instances) == ["1", "3", "4", "5", "6"]
