--- a/benchmarks/choice.py
+++ b/benchmarks/choice.py
@@ -162,13 +162,15 @@
         now = self._model.events.now
         for budget, records in zip(self._budgets, self._records, strict=True):
             for index, record in records.items():
-                if budget.wanted(record, now) and budget.take(record.address, self._settings, now):
+                if budget.needs_probe(record, now) and budget.try_spend(
+                    record.address, self._settings, now
+                ):
                     self._send_probe(budget, record, index)
         self._model.events.after(_PROBE_LOOK_S, self._probe)
 
     def _send_probe(self, budget: ProbeBudget, record: TargetRecord, index: int) -> None:
         self._model.probes += 1
-        job = Job(_PROBE_WORK_S, lambda _well, _load: budget.ended(record.address))
+        job = Job(_PROBE_WORK_S, lambda _well, _load: budget.record_end(record.address))
         self._model.targets[index].send(job)
 
 
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -170,9 +170,9 @@
             kind=call.kind.name,
             rank=call.kind.rank,
             share=call.kind.share,
-            give_up=give_up,
-            repeatable=call.kind.repeatable,
-            wake=lambda: self.events.after(0.0, lambda: self._granted(call, ticket)),
+            queue_deadline=give_up,
+            idempotent=call.kind.repeatable,
+            on_granted=lambda: self.events.after(0.0, lambda: self._granted(call, ticket)),
         )
         if self.pools[call.box].enter(ticket) is not None:
             self._refuse(call)
@@ -192,7 +192,7 @@
 
     def _give_up(self, call: Call, ticket: Ticket) -> None:
         if ticket.state is TicketState.WAITING:
-            self.pools[call.box].give_up(ticket)
+            self.pools[call.box].cancel(ticket)
             self._refuse(call)
 
     def _granted(self, call: Call, ticket: Ticket) -> None:
@@ -219,7 +219,7 @@
 
     def _answered(self, call: Call, grant: Grant, load: int) -> None:
         pool = self.pools[call.box]
-        pool.heard(grant.choice.target, LoadReport(in_flight=load))
+        pool.record_report(grant.choice.target, LoadReport(in_flight=load))
         pool.finish(grant, failed=False)
         took = self.events.now - call.began
         if _WARM_S <= self.events.now < self._until and took <= call.kind.deadline_s:
@@ -232,12 +232,12 @@
 
     def _shed(self, call: Call, grant: Grant, load: int) -> None:
         pool = self.pools[call.box]
-        pool.heard(grant.choice.target, LoadReport(in_flight=load))
+        pool.record_report(grant.choice.target, LoadReport(in_flight=load))
         pool.finish(grant, failed=False, counted=False)
         again = None
         if len(call.tried) < self._settings.attempts:
-            again = pool.again(
-                exclude=call.tried, kind=call.kind.name, repeatable=call.kind.repeatable
+            again = pool.choose_retry(
+                exclude=call.tried, kind=call.kind.name, idempotent=call.kind.repeatable
             )
         if again is None:
             self._refuse(call)
--- a/dunlinnotch/coordination/budgets/probes.py
+++ b/dunlinnotch/coordination/budgets/probes.py
@@ -57,14 +57,14 @@
     def __init__(self) -> None:
         self._spent: dict[Address, _Spent] = {}
 
-    def wanted(self, target: TargetRecord, now: Seconds) -> bool:
+    def needs_probe(self, target: TargetRecord, now: Seconds) -> bool:
         """Return whether calls leave a gap that a probe would fill."""
         if now < target.rest_until:
             return False
         silent = now - max(target.reported_at, target.last_used) > _FRESH_S
         return silent or target.leaving
 
-    def take(self, target: Address, settings: Settings, now: Seconds) -> bool:
+    def try_spend(self, target: Address, settings: Settings, now: Seconds) -> bool:
         """Spend one probe of ``target``; return whether the budget allows it."""
         rate = probes_per_second(settings)
         spent = self._spent.get(target)
@@ -78,6 +78,6 @@
         spent.out = True
         return True
 
-    def ended(self, target: Address) -> None:
+    def record_end(self, target: Address) -> None:
         """Note that the probe has come back or was given up."""
         self._spent[target].out = False
--- a/dunlinnotch/coordination/budgets/retries.py
+++ b/dunlinnotch/coordination/budgets/retries.py
@@ -23,11 +23,11 @@
         self.share = share
         self._saved = _MOST_SAVED
 
-    def first_attempt(self) -> None:
+    def record_first_attempt(self) -> None:
         """Earn a share of a retry."""
         self._saved = min(_MOST_SAVED, self._saved + self.share)
 
-    def take(self) -> bool:
+    def try_spend(self) -> bool:
         """Spend one retry; return whether there was one."""
         if self._saved < 1.0:
             return False
--- a/dunlinnotch/coordination/budgets/shares.py
+++ b/dunlinnotch/coordination/budgets/shares.py
@@ -24,7 +24,7 @@
 
     Parameters
     ----------
-    per_s : float
+    max_per_s : float
         Most probes a target may get from all boxes together, a second.
     clock : callable
 
@@ -34,8 +34,8 @@
     never less than one probe).
     """
 
-    def __init__(self, per_s: float, *, clock: Clock) -> None:
-        self.per_s = per_s
+    def __init__(self, max_per_s: float, *, clock: Clock) -> None:
+        self.max_per_s = max_per_s
         self.boxes = 1
         self._clock = clock
         self._buckets: dict[str, tuple[float, Seconds]] = {}
@@ -45,16 +45,16 @@
     @property
     def rate(self) -> float:
         """Probes a second that this box may send to one target."""
-        return self.per_s * _USED / max(1, self.boxes)
+        return self.max_per_s * _USED / max(1, self.boxes)
 
-    def has_left(self, target: str) -> bool:
+    def is_available(self, target: str) -> bool:
         """Return whether a probe of a target may be sent now; count it as denied if not."""
         if self._tokens(target) >= 1.0:
             return True
         self.denied += 1
         return False
 
-    def take(self, target: str) -> bool:
+    def try_spend(self, target: str) -> bool:
         """Spend one probe of a target; return False if its share is used up."""
         tokens = self._tokens(target)
         if tokens < 1.0:
@@ -74,7 +74,7 @@
         self._buckets[target] = (tokens, now)
         return tokens
 
-    def keep_only(self, targets: set[str]) -> None:
+    def retain(self, targets: set[str]) -> None:
         """Forget targets that are no more."""
         for target in [t for t in self._buckets if t not in targets]:
             del self._buckets[target]
@@ -102,11 +102,11 @@
         self._clock = clock
         self._steps: deque[tuple[int, int, int]] = deque()
 
-    def request(self) -> None:
+    def record_request(self) -> None:
         """Count a request for the service."""
         self._add(1, 0)
 
-    def take(self) -> bool:
+    def try_spend(self) -> bool:
         """Spend one repeat; return False if the share is used up."""
         self._forget()
         requests = sum(step[1] for step in self._steps)
--- a/dunlinnotch/coordination/choosing/limits.py
+++ b/dunlinnotch/coordination/choosing/limits.py
@@ -25,7 +25,7 @@
 
     WAITING = auto()
     GRANTED = auto()
-    LEFT = auto()
+    CANCELLED = auto()
 
 
 @dataclass(frozen=True, slots=True)
@@ -54,19 +54,19 @@
     kind : str
     rank : int
     share : float
-    give_up : float
+    queue_deadline : float
         Monotonic seconds at which the call is refused instead.
-    repeatable : bool
-    wake : callable
+    idempotent : bool
+    on_granted : callable
         Called once, when the call is granted.
     """
 
     kind: str
     rank: int
     share: float
-    give_up: Seconds
-    repeatable: bool
-    wake: Callable[[], None]
+    queue_deadline: Seconds
+    idempotent: bool
+    on_granted: Callable[[], None]
     state: TicketState = TicketState.WAITING
     grant: Grant | None = None
 
@@ -114,7 +114,7 @@
         """Take a call that gave up out of the queue."""
         if ticket.state is TicketState.WAITING:
             self._kinds[ticket.kind].tickets.remove(ticket)
-            ticket.state = TicketState.LEFT
+            ticket.state = TicketState.CANCELLED
             self._waiting -= 1
 
     def peek(self) -> Ticket | None:
@@ -132,7 +132,7 @@
         self._waiting -= 1
         self._granted += 1
         self._note_grant(now)
-        ticket.wake()
+        ticket.on_granted()
 
     def expected_wait(self, rank: int) -> Seconds:
         """Return the time that a new call of ``rank`` will wait, from the pace of late."""
--- a/dunlinnotch/coordination/choosing/pool.py
+++ b/dunlinnotch/coordination/choosing/pool.py
@@ -111,20 +111,20 @@
         """
         with self._lock:
             now = self._clock()
-            self._retries.first_attempt()
+            self._retries.record_first_attempt()
             self._queue.push(ticket)
             self._pump()
             if ticket.state is TicketState.GRANTED:
                 return None
             wait = self._queue.expected_wait(ticket.rank)
-            if now + wait > ticket.give_up:
+            if now + wait > ticket.queue_deadline:
                 self._queue.leave(ticket)
                 return wait
         if self._on_wait is not None:
             self._on_wait()
         return None
 
-    def give_up(self, ticket: Ticket) -> Seconds | None:
+    def cancel(self, ticket: Ticket) -> Seconds | None:
         """Take a waiting call out.
 
         Returns
@@ -139,7 +139,9 @@
             self._queue.leave(ticket)
             return self._queue.expected_wait(ticket.rank)
 
-    def again(self, *, exclude: Collection[Address], kind: str, repeatable: bool) -> Grant | None:
+    def choose_retry(
+        self, *, exclude: Collection[Address], kind: str, idempotent: bool
+    ) -> Grant | None:
         """Choose another target for a call that may be retried.
 
         Returns
@@ -149,12 +151,12 @@
         """
         with self._lock:
             now = self._clock()
-            choice = self._chooser.choose(now, exclude=exclude, trial_allowed=repeatable)
-            if choice is None or not self._retries.take():
+            choice = self._chooser.choose(now, exclude=exclude, trial_allowed=idempotent)
+            if choice is None or not self._retries.try_spend():
                 return None
             return self._begin(choice, kind, now)
 
-    def heard(self, target: TargetRecord, report: LoadReport) -> None:
+    def record_report(self, target: TargetRecord, report: LoadReport) -> None:
         """Take in what a target said of itself."""
         with self._lock:
             now = self._clock()
@@ -166,7 +168,7 @@
             if report.cold:
                 target.begin_warm_up(now, self._chooser.warm_up_s)
 
-    def hear_leaving(self, leaving: Iterable[LeavingTarget]) -> None:
+    def record_leaving(self, leaving: Iterable[LeavingTarget]) -> None:
         """Take in what peers say of targets that leave."""
         with self._lock:
             for word in leaving:
@@ -174,7 +176,7 @@
                 if target is not None:
                     target.hear_leaving(word.incarnation)
 
-    def told_leaving(self) -> list[LeavingTarget]:
+    def leaving_targets(self) -> list[LeavingTarget]:
         """Return the targets in use that have told this box that they leave."""
         with self._lock:
             told = [target for target in self._chooser.targets if target.told_leaving]
@@ -202,7 +204,7 @@
             )
             self._pump()
 
-    def usable(self) -> bool:
+    def has_usable_target(self) -> bool:
         """Return whether any target may take new work."""
         with self._lock:
             return any(not target.leaving for target in self._chooser.sharing())
@@ -260,7 +262,7 @@
     def _pump(self) -> None:
         now = self._clock()
         while (ticket := self._queue.peek()) is not None:
-            choice = self._chooser.choose(now, trial_allowed=ticket.repeatable)
+            choice = self._chooser.choose(now, trial_allowed=ticket.idempotent)
             if choice is None or not self._open(choice, now):
                 return
             self._queue.grant(ticket, self._begin(choice, ticket.kind, now), now)
--- a/dunlinnotch/coordination/choosing/selector.py
+++ b/dunlinnotch/coordination/choosing/selector.py
@@ -278,7 +278,7 @@
             return
         asked = list(itertools.islice(self._to_ask(queue), wanted))
         for instance in asked:
-            self._probes.take(instance.name)
+            self._probes.try_spend(instance.name)
             queue.asking.add(instance)
             self._spawn(self._ask(queue, instance, path))
         if len(asked) < wanted:
@@ -290,7 +290,7 @@
         for instance in self._chooser.order(self._instances.of(queue.service), now, exclude=()):
             if instance in queue.asking or now - instance.asked_at < _PAUSE_S:
                 continue
-            if self._probes.has_left(instance.name):
+            if self._probes.is_available(instance.name):
                 yield instance
 
     def _ask_again_later(self, queue: ServiceQueue) -> None:
--- a/dunlinnotch/coordination/core.py
+++ b/dunlinnotch/coordination/core.py
@@ -205,12 +205,12 @@
     def maintain(self) -> None:
         """Renew this box's row and what depends on the other boxes' rows."""
         pools = self.directory.pools()
-        told = tuple(word for pool in pools for word in pool.told_leaving())
+        told = tuple(word for pool in pools for word in pool.leaving_targets())
         self.membership.refresh_own(in_flight=self.gate.in_flight, leaving=told)
         self.directory.rebuild(self.holder.tree, self.membership.live())
         heard = [word for row in self.membership.rows() for word in row.leaving]
         for pool in self.directory.pools():
-            pool.hear_leaving(heard)
+            pool.record_leaving(heard)
 
     def heed_operator(self) -> None:
         """Start or call off a drain, as the tree says."""
@@ -253,16 +253,16 @@
     def _probe_if_due(self, pool: ServicePool, target: TargetRecord) -> None:
         now = self._clock()
         settings = self._probe_settings(pool, target)
-        if not self._budget.wanted(target, now) or not self.seat.held(settings.boxes_max):
+        if not self._budget.needs_probe(target, now) or not self.seat.held(settings.boxes_max):
             return
-        if not self._budget.take(target.address, settings, now):
+        if not self._budget.try_spend(target.address, settings, now):
             return
         try:
             report = self._probe(target.address)
         finally:
-            self._budget.ended(target.address)
+            self._budget.record_end(target.address)
         if report is not None:
-            pool.heard(target, report)
+            pool.record_report(target, report)
         event(_log, "probe", target=target.address, service=pool.service, report=report)
 
     def _put_in_force(self, tree: SettingsTree) -> None:
--- a/dunlinnotch/coordination/requests/forward.py
+++ b/dunlinnotch/coordination/requests/forward.py
@@ -275,14 +275,14 @@
             service = run.service = kind.service_at(run.point)
             if not run.counted:
                 run.counted = True
-                self.repeats(service).request()
+                self.repeats(service).record_request()
             pick = await self._choose(run, kind, service)
             if pick is None:
                 return last or self._nobody(run, service)
             if not self._still(run, pick):
                 self._selector.release(pick)
                 continue
-            if run.sends and not self.repeats(service).take():
+            if run.sends and not self.repeats(service).try_spend():
                 self._selector.release(pick)
                 return last or self._nobody(run, service)
             end = await self._attempt(run, kind, pick)
--- a/dunlinnotch/coordination/requests/router.py
+++ b/dunlinnotch/coordination/requests/router.py
@@ -201,8 +201,8 @@
             self._log_choice(run, grant.choice, ended)
             if not self._may_retry(run, ended, settings):
                 return ended
-            again = pool.again(
-                exclude=run.tried, kind=run.call.kind, repeatable=settings.repeatable
+            again = pool.choose_retry(
+                exclude=run.tried, kind=run.call.kind, idempotent=settings.repeatable
             )
             if again is None:
                 return ended
@@ -211,7 +211,7 @@
     def _wait_for_target(
         self, run: _Run, pool: ServicePool, settings: Settings
     ) -> Grant | CallResult:
-        if not pool.usable():
+        if not pool.has_usable_target():
             detail = "no target of the service takes new work"
             return _refused(Reason.NO_TARGET, detail, _UNAVAILABLE)
         now = self._clock()
@@ -222,14 +222,14 @@
             kind=run.call.kind,
             rank=settings.rank,
             share=settings.share,
-            give_up=min(run.call.deadline, now + settings.queue_ms / 1000),
-            repeatable=settings.repeatable,
-            wake=granted.set,
+            queue_deadline=min(run.call.deadline, now + settings.queue_ms / 1000),
+            idempotent=settings.repeatable,
+            on_granted=granted.set,
         )
         come_back = pool.enter(ticket)
         if come_back is None and ticket.state is TicketState.WAITING:
-            granted.wait(max(0.0, ticket.give_up - self._clock()))
-            come_back = pool.give_up(ticket)
+            granted.wait(max(0.0, ticket.queue_deadline - self._clock()))
+            come_back = pool.cancel(ticket)
         run.waited = self._clock() - now
         if ticket.grant is None:
             wait = max(come_back or 0.0, _RETRY_AFTER_S)
@@ -250,7 +250,7 @@
     ) -> CallResult:
         """Pass an answer to the caller, to its last byte or not cleanly at all."""
         target = grant.choice.target
-        pool.heard(target, answered.report)
+        pool.record_report(target, answered.report)
         ending = _Ending.FAILED if answered.head.status >= _SERVER_ERROR else _Ending.WELL
         whole = False
         begun = False
@@ -282,7 +282,7 @@
         self, result: NotSent | Refused | Broken, grant: Grant, pool: ServicePool
     ) -> CallResult:
         if isinstance(result, Refused):
-            pool.heard(grant.choice.target, result.report)
+            pool.record_report(grant.choice.target, result.report)
             self._finish(pool, grant, _Ending.DECLINED)
             detail = f"the target refused: {result.mark}"
             return _refused(Reason.TARGET_REFUSED, detail, _UNAVAILABLE)
--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -262,7 +262,7 @@
         if moved:
             event(_log, "reload-needs-restart", level=logging.WARNING, fields=moved)
         self._settings = replace(settings, **{n: getattr(self._settings, n) for n in kept})
-        self.probes.per_s = settings.probes_per_s
+        self.probes.max_per_s = settings.probes_per_s
         self.forwarder.change_repeats(
             ratio=settings.repeat_ratio,
             slack=settings.repeat_slack,
@@ -402,7 +402,7 @@
     def _take_targets(self, rows: list[TableRow]) -> None:
         self._listed.take(rows)
         self._targets.keep_only(self.instances.addresses())
-        self.probes.keep_only({instance.name for instance in self.instances.all()})
+        self.probes.retain({instance.name for instance in self.instances.all()})
 
     # -- metrics
 
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -514,8 +514,8 @@
 
             monkeypatch.setattr(LinkPool, "take", take_slowly)
             # Nobody is asked first, so that the connection is taken for the request.
-            box.probes.per_s = 0.0
-            monkeypatch.setattr(type(box.probes), "has_left", lambda self, target: False)
+            box.probes.max_per_s = 0.0
+            monkeypatch.setattr(type(box.probes), "is_available", lambda self, target: False)
             body = b"x" if method == "POST" else b""
             answer = await call(box, path, "r1", method=method, body=body)
             assert answer.status in (200, 503)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -12,8 +12,8 @@
 from tests import FakeClock
 
 
-def ticket(kind="a", *, rank=5, share=1.0, give_up=2000.0):
-    return Ticket(kind, rank, share, give_up, True, lambda: None)
+def ticket(kind="a", *, rank=5, share=1.0, queue_deadline=2000.0):
+    return Ticket(kind, rank, share, queue_deadline, True, lambda: None)
 
 
 def let_go(queue, count):
@@ -74,7 +74,7 @@
     """Enter calls until one waits; return the granted ones."""
     granted = []
     while True:
-        call = ticket(give_up=pool._clock() + 0.25)
+        call = ticket(queue_deadline=pool._clock() + 0.25)
         assert pool.enter(call) is None
         if call.state is TicketState.WAITING:
             return granted, call
@@ -89,64 +89,64 @@
 
 
 def test_load_of_others_fills_a_target(pool):
-    first = ticket(give_up=2000.0)
+    first = ticket(queue_deadline=2000.0)
     pool.enter(first)
     for target in pool.records():
-        pool.heard(target, LoadReport(in_flight=4))
-    second = ticket(give_up=2000.0)
+        pool.record_report(target, LoadReport(in_flight=4))
+    second = ticket(queue_deadline=2000.0)
     pool.enter(second)
     assert second.state is TicketState.WAITING
 
 
 def test_a_target_that_rests_gets_no_call_and_no_probe(pool, clock):
     tired, other = pool.records()
-    pool.heard(tired, LoadReport(in_flight=0, rest=3.0))
+    pool.record_report(tired, LoadReport(in_flight=0, rest=3.0))
     granted, waiting = fill(pool)
     assert {call.grant.choice.target.address for call in granted} == {other.address}
-    assert pool.again(exclude=[other.address], kind="a", repeatable=True) is None
-    assert not ProbeBudget().wanted(tired, clock())
+    assert pool.choose_retry(exclude=[other.address], kind="a", idempotent=True) is None
+    assert not ProbeBudget().needs_probe(tired, clock())
     clock.advance(3.1)
-    assert ProbeBudget().wanted(tired, clock())
+    assert ProbeBudget().needs_probe(tired, clock())
     pool.pump()
     assert waiting.grant.choice.target is tired
 
 
 def test_a_new_start_of_a_target_does_not_rest(pool, clock):
     tired, _ = pool.records()
-    pool.heard(tired, LoadReport(incarnation="1", rest=3.0))
+    pool.record_report(tired, LoadReport(incarnation="1", rest=3.0))
     assert tired.wants_nothing(clock())
-    pool.heard(tired, LoadReport(incarnation="2"))
+    pool.record_report(tired, LoadReport(incarnation="2"))
     assert not tired.wants_nothing(clock())
 
 
 def test_call_that_would_wait_too_long_is_refused_at_once_with_when_to_come_back(pool, clock):
     granted, _ = fill(pool)
-    pool.enter(ticket(give_up=clock() + 100))
+    pool.enter(ticket(queue_deadline=clock() + 100))
     for _ in range(3):
         clock.advance(0.2)
         pool.finish(granted.pop().grant, failed=False)
-        pool.enter(ticket(give_up=clock() + 100))
-    late = ticket(give_up=clock() + 0.05)
+        pool.enter(ticket(queue_deadline=clock() + 100))
+    late = ticket(queue_deadline=clock() + 0.05)
     come_back = pool.enter(late)
     assert come_back > 0.05
-    assert late.state is TicketState.LEFT
+    assert late.state is TicketState.CANCELLED
     assert pool.waiting >= 1
 
 
 def test_retries_are_a_share_of_first_attempts():
     budget = RetryBudget(0.1)
-    while budget.take():
+    while budget.try_spend():
         pass
     for _ in range(100):
-        budget.first_attempt()
-    assert sum(budget.take() for _ in range(100)) in (9, 10)
+        budget.record_first_attempt()
+    assert sum(budget.try_spend() for _ in range(100)) in (9, 10)
 
 
 def test_pool_retries_only_within_the_budget_and_never_the_same_target(pool):
     first = ticket()
     pool.enter(first)
     tried = [first.grant.choice.target.address]
-    again = pool.again(exclude=tried, kind="a", repeatable=True)
+    again = pool.choose_retry(exclude=tried, kind="a", idempotent=True)
     assert again.choice.target.address not in tried
     tried.append(again.choice.target.address)
-    assert pool.again(exclude=tried, kind="a", repeatable=True) is None
+    assert pool.choose_retry(exclude=tried, kind="a", idempotent=True) is None
--- a/tests/test_probe_leases.py
+++ b/tests/test_probe_leases.py
@@ -93,16 +93,21 @@
     settings = Settings(probe_rate=2, boxes_max=2)
     taken = 0
     for second in (0.0, 0.5, 1.0, 1.5, 100.0, 100.1, 100.2):
-        if budget.take("t", settings, second):
+        if budget.try_spend("t", settings, second):
             taken += 1
-            budget.ended("t")
+            budget.record_end("t")
     assert taken == 2
 
 
 def test_one_probe_at_a_time_to_a_target():
     budget = ProbeBudget()
     settings = Settings(probe_rate=2, boxes_max=2)
-    assert [budget.take("t", settings, float(s)) for s in range(4)] == [False, True, False, False]
+    assert [budget.try_spend("t", settings, float(s)) for s in range(4)] == [
+        False,
+        True,
+        False,
+        False,
+    ]
 
 
 def test_seat_that_is_no_more_is_given_up_at_once(platform, clock):
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -32,7 +32,7 @@
     for gap in gaps:
         clock.now += gap
         for share in shares:
-            if share.take("t"):
+            if share.try_spend("t"):
                 sent.append(clock.now)
     length = clock.now - 100.0
     # Each bucket begins full: at most one second's share, or one probe, beyond the rate.
@@ -43,12 +43,12 @@
     clock = Now()
     share = ProbeShare(10.0, clock=clock)
     share.boxes = 1
-    taken = sum(share.take("t") for _ in range(100))
+    taken = sum(share.try_spend("t") for _ in range(100))
     assert taken == 8
     assert share.denied == 92
-    assert share.take("other")
+    assert share.try_spend("other")
     clock.now += 1.0
-    assert sum(share.take("t") for _ in range(100)) == 8
+    assert sum(share.try_spend("t") for _ in range(100)) == 8
 
 
 @settings(max_examples=60, derandomize=True, deadline=None)
@@ -70,10 +70,10 @@
         clock.now += gap
         share = shares[box % boxes]
         for _ in range(fresh):
-            share.request()
+            share.record_request()
             requests.append(clock.now)
         for _ in range(again):
-            if share.take():
+            if share.try_spend():
                 repeats.append(clock.now)
     for end in repeats:
         window = sum(end - 10.0 < at <= end for at in repeats)
@@ -87,6 +87,6 @@
     clock = Now()
     share = RetryShare(ratio=0.2, slack=62.0, window=10.0, clock=clock)
     share.boxes = 17
-    assert sum(share.take() for _ in range(50)) == 3
+    assert sum(share.try_spend() for _ in range(50)) == 3
     clock.now += 11.0
-    assert sum(share.take() for _ in range(50)) == 3
+    assert sum(share.try_spend() for _ in range(50)) == 3
