--- a/dunlinnotch/coordination/budgets/probe_leases.py
+++ b/dunlinnotch/coordination/budgets/probe_leases.py
@@ -25,9 +25,9 @@
     from dunlinnotch.protocol.platform import Platform, Row
     from dunlinnotch.types import Clock
 
-SEAT_PREFIX = "probe-seat/"
+KEY_PREFIX = "probe-seat/"
 #: How long a lease lasts, in seconds.
-LEASE_S = 300.0
+DEFAULT_LEASE_S = 300.0
 #: A seat is taken over only so long after its lease must have lapsed, as a
 #: share of the lease: room for clocks that run at different speeds.
 _DRIFT = 0.05
@@ -82,7 +82,7 @@
         box: str,
         incarnation: int,
         clock: Clock,
-        lease_s: Seconds = LEASE_S,
+        lease_s: Seconds = DEFAULT_LEASE_S,
     ) -> None:
         self._platform = platform
         self._box = box
@@ -139,7 +139,7 @@
         return (value.box, value.incarnation) == (self._box, self._incarnation)
 
     def _rows(self) -> list[Row]:
-        rows = self._platform.scan(SEAT_PREFIX, after="", limit=_SCAN_LIMIT)
+        rows = self._platform.scan(KEY_PREFIX, after="", limit=_SCAN_LIMIT)
         now = self._clock()
         for row in rows:
             seen = self._seen.get(row.key)
@@ -188,8 +188,8 @@
 
 
 def _key(number: int) -> str:
-    return f"{SEAT_PREFIX}{number:05d}"
+    return f"{KEY_PREFIX}{number:05d}"
 
 
 def _number(key: str) -> int:
-    return int(key.removeprefix(SEAT_PREFIX))
+    return int(key.removeprefix(KEY_PREFIX))
--- a/dunlinnotch/coordination/choosing/directory.py
+++ b/dunlinnotch/coordination/choosing/directory.py
@@ -63,7 +63,7 @@
 
     Attributes
     ----------
-    some_wait : threading.Event
+    calls_waiting : threading.Event
         Set when a call begins to wait in any pool.
     """
 
@@ -76,7 +76,7 @@
         self._limits: dict[Address, int] = {}
         self._subsets: dict[str, _Subset] = {}
         self._lock = threading.Lock()
-        self.some_wait = threading.Event()
+        self.calls_waiting = threading.Event()
 
     def pool(self, service: str) -> ServicePool | None:
         """Return the pool, or None if the service has no targets anywhere."""
@@ -114,7 +114,7 @@
                 pool = pools.get(service)
                 if pool is None:
                     pool = pools[service] = ServicePool(
-                        service, clock=self._clock, rng=self._rng, on_wait=self.some_wait.set
+                        service, clock=self._clock, rng=self._rng, on_wait=self.calls_waiting.set
                     )
                 pool.configure(
                     plan.targets,
--- a/dunlinnotch/coordination/choosing/least_load.py
+++ b/dunlinnotch/coordination/choosing/least_load.py
@@ -135,7 +135,7 @@
             yield from self._targets[place]
 
     @property
-    def answer_time(self) -> Seconds:
+    def mean_latency(self) -> Seconds:
         """Running mean of the time that an answer takes, in seconds."""
         return self._answer_time
 
@@ -199,7 +199,7 @@
             target.next_trial = now + self.trial_s
         return flight
 
-    def heard(self, target: TargetRecord, now: Seconds, in_flight: int) -> None:
+    def record_report(self, target: TargetRecord, now: Seconds, in_flight: int) -> None:
         """Take in a load report that came with an answer or a probe."""
         others = target.heard(now, in_flight)
         self._mean_others += _GAIN * (others - self._mean_others)
--- a/dunlinnotch/coordination/choosing/saturation.py
+++ b/dunlinnotch/coordination/choosing/saturation.py
@@ -18,7 +18,7 @@
 #: What reports told is forgotten when none came for so long, in seconds.
 _FORGET_S = 1.0
 #: Share of full targets up to which a service has room, and from which it has none.
-ROOM_UP_TO, NO_ROOM_FROM = 0.6, 0.85
+FULL_ADMISSION_BELOW, NO_ADMISSION_ABOVE = 0.6, 0.85
 
 
 class Saturation:
@@ -34,7 +34,7 @@
         self._share = 0.0
         self._noted_at: Seconds = clock()
 
-    def note(self, *, full: bool) -> None:
+    def record(self, *, full: bool) -> None:
         """Take in whether a target that was probed was full."""
         self._share = self.share + _GAIN * (float(full) - self.share)
         self._noted_at = self._clock()
@@ -45,7 +45,7 @@
         return self._share if self._clock() - self._noted_at < _FORGET_S else 0.0
 
     @property
-    def room(self) -> float:
+    def admission_share(self) -> float:
         """Part of the requests that may go to a target that is not good, 0 to 1."""
-        left = (NO_ROOM_FROM - self.share) / (NO_ROOM_FROM - ROOM_UP_TO)
+        left = (NO_ADMISSION_ABOVE - self.share) / (NO_ADMISSION_ABOVE - FULL_ADMISSION_BELOW)
         return min(1.0, max(0.0, left))
--- a/dunlinnotch/coordination/choosing/selector.py
+++ b/dunlinnotch/coordination/choosing/selector.py
@@ -264,7 +264,10 @@
         limit = in_time if now - queue.good_at < _SLOW_FOR_S else late
         if overload(instance) > 0 or self._chooser.expected_ratio(instance, now) > limit:
             return False
-        return self._chooser.is_good(instance, now) or self._rng.random() < queue.saturation.room
+        return (
+            self._chooser.is_good(instance, now)
+            or self._rng.random() < queue.saturation.admission_share
+        )
 
     # -- asking
 
@@ -317,7 +320,7 @@
             queue.overdue.discard(instance)
         usable = self._take_answer(instance, asked)
         if usable:
-            queue.saturation.note(full=self._chooser.is_saturated(instance))
+            queue.saturation.record(full=self._chooser.is_saturated(instance))
         used = usable and self._offer(queue, instance, asked)
         if not used:
             self._targets.release(instance.address, asked)
--- a/dunlinnotch/coordination/choosing/subset.py
+++ b/dunlinnotch/coordination/choosing/subset.py
@@ -23,7 +23,7 @@
     return xxhash.xxh64_intdigest(f"{left}\0{right}".encode())
 
 
-def highest(owner: str, names: Iterable[str], count: int) -> list[str]:
+def highest_weighted(owner: str, names: Iterable[str], count: int) -> list[str]:
     """Return the ``count`` names with the highest rendezvous weight for ``owner``."""
     return sorted(names, key=lambda name: rank_hash(owner, name), reverse=True)[:count]
 
--- a/dunlinnotch/coordination/core.py
+++ b/dunlinnotch/coordination/core.py
@@ -11,10 +11,10 @@
 from typing import TYPE_CHECKING
 
 from dunlinnotch._logs import event
-from dunlinnotch.coordination.budgets.probe_leases import LEASE_S, ProbeLeaseHolder
+from dunlinnotch.coordination.budgets.probe_leases import DEFAULT_LEASE_S, ProbeLeaseHolder
 from dunlinnotch.coordination.budgets.probes import ProbeBudget, probes_per_second
 from dunlinnotch.coordination.choosing.directory import PoolDirectory
-from dunlinnotch.coordination.choosing.subset import highest
+from dunlinnotch.coordination.choosing.subset import highest_weighted
 from dunlinnotch.coordination.membership.rows import Membership
 from dunlinnotch.coordination.membership.steering import Steering
 from dunlinnotch.coordination.requests.drain import Drain
@@ -73,7 +73,7 @@
     suspect_s: Seconds = 6.0
     forget_s: Seconds = 30.0
     drain_margin_s: Seconds = 1.0
-    lease_s: Seconds = LEASE_S
+    lease_s: Seconds = DEFAULT_LEASE_S
     readers: int = 3
 
 
@@ -199,7 +199,7 @@
     def is_reader(self) -> bool:
         """Return whether this box reads the table often on behalf of its place."""
         names = [row.name for row in self.membership.live() if row.place == self.place]
-        readers = highest(self.place, names, self.timing.readers)
+        readers = highest_weighted(self.place, names, self.timing.readers)
         return self.holder.version == 0 or self.name in readers
 
     def maintain(self) -> None:
--- a/dunlinnotch/coordination/membership/links.py
+++ b/dunlinnotch/coordination/membership/links.py
@@ -10,7 +10,7 @@
 
 from typing import TYPE_CHECKING
 
-from dunlinnotch.coordination.choosing.subset import highest
+from dunlinnotch.coordination.choosing.subset import highest_weighted
 
 if TYPE_CHECKING:
     import random
@@ -61,7 +61,7 @@
         own = {word.name: word for word in words if word.place == self._place}
         if len(own) <= NEAR_MOST:
             return list(own.values())
-        return [own[name] for name in highest(self._name, own, NEAR_MOST)]
+        return [own[name] for name in highest_weighted(self._name, own, NEAR_MOST)]
 
     def far(self, words: Sequence[BoxWord], *, follows: bool) -> list[BoxWord]:
         """Return a box of each other place, drawn by chance; none in a small system.
--- a/dunlinnotch/coordination/membership/mesh.py
+++ b/dunlinnotch/coordination/membership/mesh.py
@@ -14,7 +14,7 @@
 from typing import TYPE_CHECKING
 
 from dunlinnotch._logs import event
-from dunlinnotch.coordination.choosing.subset import highest
+from dunlinnotch.coordination.choosing.subset import highest_weighted
 from dunlinnotch.coordination.membership.links import Links
 from dunlinnotch.protocol.mesh import BoxWord, TableState
 
@@ -280,7 +280,7 @@
                 staying.append(word.name)
                 able += [word.name] if word.reading else []
         # Where nobody can read one still tries: if all did, all would tell all others.
-        return highest(self.place, able or staying or [self.name], 1) == [self.name]
+        return highest_weighted(self.place, able or staying or [self.name], 1) == [self.name]
 
     def live_here(self) -> int:
         """Return how many boxes of this place are heard, this one included."""
--- a/dunlinnotch/coordination/membership/rows.py
+++ b/dunlinnotch/coordination/membership/rows.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING
 
 from dunlinnotch._logs import event
-from dunlinnotch.coordination.choosing.subset import highest
+from dunlinnotch.coordination.choosing.subset import highest_weighted
 from dunlinnotch.protocol.peers import LinkState, Sync
 from dunlinnotch.state.schema import RunState
 
@@ -226,8 +226,8 @@
             return {seed: seed for seed in seeds if seed != self._own.peer}
         chosen = [self._next_name(sorted(addresses))]
         away = [name for name, row in others.items() if row.place != self._own.place]
-        chosen += highest(self._own.name, away, 1)
-        chosen += highest(self._own.name, addresses, count)
+        chosen += highest_weighted(self._own.name, away, 1)
+        chosen += highest_weighted(self._own.name, addresses, count)
         names = list(dict.fromkeys(chosen))[:count]
         return {name: addresses[name] for name in names}
 
--- a/dunlinnotch/coordination/membership/steering.py
+++ b/dunlinnotch/coordination/membership/steering.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from dunlinnotch.coordination.choosing.subset import highest
+from dunlinnotch.coordination.choosing.subset import highest_weighted
 from dunlinnotch.protocol.answers import AddressAnswer, AddressEntry, once_stem
 from dunlinnotch.state.schema import RunState
 
@@ -67,7 +67,7 @@
 
     def _order(self, rows: list[BoxRow], caller: str, place: str) -> list[BoxRow]:
         by_name = {row.name: row for row in rows}
-        ranked = [by_name[name] for name in highest(caller, by_name, len(by_name))]
+        ranked = [by_name[name] for name in highest_weighted(caller, by_name, len(by_name))]
         bound = self._bound(rows)
         ranked.sort(key=lambda row: (row.in_flight > bound, row.place != place))
         return _second_elsewhere(ranked)
--- a/dunlinnotch/daemon/box.py
+++ b/dunlinnotch/daemon/box.py
@@ -238,8 +238,8 @@
         """Let waiting calls go as estimates age, while any wait."""
         directory = self.core.directory
         while not self._stopped.is_set():
-            directory.some_wait.wait()
-            directory.some_wait.clear()
+            directory.calls_waiting.wait()
+            directory.calls_waiting.clear()
             while any(pool.pump() for pool in directory.pools()):
                 time.sleep(_PUMP_S)
 
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -399,7 +399,7 @@
         "tests/test_following.py",
     ),
     Mutant("send what can't end in time", TargetSelector, "_bearable", _bear_anything, ENTRY),
-    Mutant("send to targets found full", Saturation, "room", 1.0, SELECTOR),
+    Mutant("send to targets found full", Saturation, "admission_share", 1.0, SELECTOR),
     Mutant("hand no target to those that wait", TargetSelector, "_offer", _offer_nothing, SELECTOR),
     Mutant(
         "learn nothing of fullness",
