--- a/dunlinnotch/coordination/choosing/selector.py
+++ b/dunlinnotch/coordination/choosing/selector.py
@@ -1,11 +1,10 @@
-"""Find a target for each request by reports of the last milliseconds.
-
-A request goes to the first target that is good by a report just heard: one
-that a probe brought, or the answer to another request.  Requests that find none
-wait in one queue for each service, the most urgent first, and of those the ones that can
-still be answered in time.  A few targets are
-asked for the queue at a time, so that probes last; each target heard to be good
-takes the first that waits.  See ``docs/design/overload.md``.
+"""Select a target for each request by load reports that are a few milliseconds old.
+
+A report comes with the result of a probe or with the answer to another request.  A request
+goes to the first target that its report shows to be good.  Requests that find none wait in
+one queue for each service, ordered by rank and then by whether they can still end in time.
+A few targets at a time are probed for the queue, to stay within the probe budget; each one
+found good serves the first request in the queue.  See ``docs/design/overload.md``.
 """
 
 from __future__ import annotations
@@ -38,20 +37,20 @@
     from dunlinnotch.state.instances import Instance, InstanceList
     from dunlinnotch.types import Seconds
 
-#: Pause before targets that were just heard are asked again, in seconds.
-_PAUSE_S = 0.015
-#: Where no target of a service was good for so long, slow ones are what there is, in
-#: seconds: longer than a target shared with others is slow at a time.
-_SLOW_FOR_S = 0.5
-#: A probe without an answer for so long no longer holds up others, in seconds: several
-#: round trips between places.
-_ASK_PATIENCE_S = 0.015
-#: A probe without an answer for so long counts as a failure, in seconds.
-_ASK_LOST_S = 0.3
+#: Interval between two probes of one target, in seconds.
+_MIN_PROBE_INTERVAL_S = 0.015
+#: Time without a good target in a service after which a request may go to a target where
+#: it ends after its target latency, but within its timeout, in seconds.
+_LATE_ALLOWED_AFTER_S = 0.5
+#: Time after which an unanswered probe no longer counts against the limit of concurrent
+#: probes, in seconds: several round trips between places.
+_PROBE_OVERDUE_S = 0.015
+#: Time after which an unanswered probe counts as a failure of the target, in seconds.
+_PROBE_TIMEOUT_S = 0.3
 
 
 class TargetSelector:
-    """Find targets for requests.
+    """Select targets for requests, and probe targets where no fresh report is available.
 
     Parameters
     ----------
@@ -84,10 +83,10 @@
         self._rng = rng
         self._log = log
         self._loop = asyncio.get_running_loop()
-        self._running: set[asyncio.Task[None]] = set()
+        self._tasks: set[asyncio.Task[None]] = set()
         self._queues: dict[str, ServiceQueue] = {}
         self._arrivals = 0
-        #: Times that a target has asked this box for rest.
+        #: Number of times a target requested back-off from this box.
         self.backoffs_requested = 0
 
     async def choose(
@@ -110,48 +109,49 @@
         rank : int
             0 is the most urgent.
         tried : collection of str
-            Targets that the request has been sent to.
+            Names of the targets that the request was already sent to.  They are excluded
+            unless the service has no other target.
         queue_deadline : float
-            Monotonic seconds until which a good target is waited for.
+            Monotonic seconds until which the request may wait for a good target.
         first_attempt_at : float, optional
-            Monotonic seconds at which the caller first asked.
+            Monotonic seconds at which the caller made its first attempt.
         start_by : float, optional
-            Monotonic seconds up to which a start at a good target ends in time.
+            Monotonic seconds of the latest start at a good target that still ends in
+            time.
         max_ratio : float, optional
-            Greatest expected time, as a multiple of the usual one, at which the
-            request still ends within its target latency.
+            Expected latency ratio up to which the request ends within its target latency.
         max_ratio_late : float, optional
-            The same for an end within its timeout; it counts where no target of the
-            service has been good for a while.
+            Expected latency ratio up to which the request ends within its timeout.  It
+            applies instead of `max_ratio` when the service has had no good target lately.
         """
         if all(i.name in tried for i in self._instances.of(service)):
             tried = ()
-        rest = self.backoff_left(service)
-        if rest and self._loop.time() + rest > queue_deadline:
+        backoff = self.backoff_left(service)
+        if backoff and self._loop.time() + backoff > queue_deadline:
             return None
         queue = self._queue(service)
-        pick = None if queue.waiters else self._known_good(service, tried)
-        if pick is None:
+        selection = None if queue.waiters else self._select_fresh(service, tried)
+        if selection is None:
             self._arrivals += 1
-            picked = self._loop.create_future()
+            selected = self._loop.create_future()
             waiter = Waiter(
-                rank, self._arrivals, tried, queue_deadline, first_attempt_at, start_by, picked
+                rank, self._arrivals, tried, queue_deadline, first_attempt_at, start_by, selected
             )
-            pick = await self._wait(queue, waiter)
-        if pick is not None:
-            return pick
-        return self._last_chance(queue, tried, (max_ratio, max_ratio_late))
-
-    def release(self, pick: Selection) -> None:
-        """Give back a target that is not used."""
-        instance = pick.instance
+            selection = await self._wait(queue, waiter)
+        if selection is not None:
+            return selection
+        return self._fallback(queue, tried, (max_ratio, max_ratio_late))
+
+    def release(self, selection: Selection) -> None:
+        """Release a selection that will not be used, with the connection of its probe."""
+        instance = selection.instance
         instance.sent_since_report = max(0, instance.sent_since_report - 1)
-        if pick.probe is not None:
-            self._targets.release(instance.address, pick.probe)
+        if selection.probe is not None:
+            self._targets.release(instance.address, selection.probe)
 
     def record_status(self, instance: Instance, status: TargetStatus) -> None:
-        """Take in what a target said with an answer; who waits may use it."""
-        self._take_wishes(instance, status)
+        """Record the status that came with a target's answer, and offer the target to the queue."""
+        self._apply_requests(instance, status)
         if status.report is None or instance.replaced:
             return
         instance.heard(status.report, self._loop.time())
@@ -160,7 +160,7 @@
             self._offer(queue, instance, None)
 
     def backoff_left(self, service: str) -> Seconds:
-        """Return for how long no target of a service wants anything; 0 if one does."""
+        """Return the seconds until the first target's back-off ends; 0 if a target is available."""
         return self._instances.rest_left(service, self._loop.time())
 
     def _queue(self, service: str) -> ServiceQueue:
@@ -170,98 +170,101 @@
             self._queues[service] = queue
         return queue
 
-    # -- waiting for a good target
-
-    def _known_good(self, service: str, tried: Collection[str]) -> Selection | None:
-        """Return a target that is good by a report of the last milliseconds."""
+    def _select_fresh(self, service: str, tried: Collection[str]) -> Selection | None:
+        """Return a target that is good by a fresh report, or None."""
         now = self._loop.time()
         for instance in self._chooser.order(self._instances.of(service), now, exclude=tried):
             if now - instance.reported_at < MAX_FRESH_AGE_S and self._chooser.is_good(
                 instance, now
             ):
-                return self._pick(instance, None, "fresh")
+                return self._select(instance, None, "fresh")
         return None
 
     async def _wait(self, queue: ServiceQueue, waiter: Waiter) -> Selection | None:
-        """Wait in a queue until a target is heard to be good."""
+        """Wait in the queue for a good target; return None if the queue deadline passes."""
         queue.waiters.append(waiter)
-        self._ask_for(queue)
+        self._start_probes(queue)
         try:
-            # Who comes late has at least the time of one probe.
-            async with asyncio.timeout_at(max(waiter.give_up, self._loop.time() + _ASK_PATIENCE_S)):
-                return await asyncio.shield(waiter.picked)
+            # A request past its queue deadline still waits for one round of probes.
+            async with asyncio.timeout_at(
+                max(waiter.queue_deadline, self._loop.time() + _PROBE_OVERDUE_S)
+            ):
+                return await asyncio.shield(waiter.selected)
         except TimeoutError:
-            return waiter.picked.result() if waiter.picked.done() else None
+            return waiter.selected.result() if waiter.selected.done() else None
         except asyncio.CancelledError:
-            pick = waiter.picked.result() if waiter.picked.done() else None
-            if pick is not None:
-                self.release(pick)
+            selection = waiter.selected.result() if waiter.selected.done() else None
+            if selection is not None:
+                self.release(selection)
             raise
         finally:
             if waiter in queue.waiters:
                 queue.waiters.remove(waiter)
 
-    def _offer(self, queue: ServiceQueue, instance: Instance, asked: Asked | None) -> bool:
-        """Hand a target to those that wait, as long as it is good; return if a probe was used."""
+    def _offer(self, queue: ServiceQueue, instance: Instance, probe_result: Asked | None) -> bool:
+        """Give waiting requests a target while it is good; return whether the probe was used."""
         used = False
-        while queue.waiters and not instance.replaced and self._takes(instance):
-            waiter = queue.first_for(instance, self._loop.time())
+        while queue.waiters and not instance.replaced and self._accepts(instance):
+            waiter = queue.pop_for(instance, self._loop.time())
             if waiter is None:
                 break
-            probe = None if used else asked
-            waiter.picked.set_result(self._pick(instance, probe, "good" if asked else "fresh"))
-            used = used or asked is not None
+            probe = None if used else probe_result
+            waiter.selected.set_result(
+                self._select(instance, probe, "good" if probe_result else "fresh")
+            )
+            used = used or probe_result is not None
         return used
 
-    def _takes(self, instance: Instance) -> bool:
+    def _accepts(self, instance: Instance) -> bool:
         now = self._loop.time()
         return self._chooser.is_good(instance, now) or self._chooser.explores(instance, now)
 
-    def _pick(self, instance: Instance, asked: Asked | None, why: str) -> Selection:
+    def _select(self, instance: Instance, probe_result: Asked | None, reason: str) -> Selection:
         now = self._loop.time()
         report = instance.report
-        start = LoadAtSend(
+        load = LoadAtSend(
             queued_ahead=instance.ahead,
             slots=max(1, instance.listed.slots if report is None else report.slots),
             latency_ratio=1.0 if report is None else report.slowness,
             report_age=now - instance.reported_at,
         )
-        pick = Selection(instance, asked, why, self._chooser.expected_ratio(instance, now), start)
+        selection = Selection(
+            instance, probe_result, reason, self._chooser.expected_ratio(instance, now), load
+        )
         instance.sent_since_report += 1
-        if why in ("good", "fresh"):
-            self._queue(instance.listed.service).good_at = now
-        return pick
-
-    # -- where none was good in time
+        if reason in ("good", "fresh"):
+            self._queue(instance.listed.service).last_good_at = now
+        return selection
 
-    def _last_chance(
-        self, queue: ServiceQueue, tried: Collection[str], most: tuple[float, float]
+    def _fallback(
+        self, queue: ServiceQueue, tried: Collection[str], max_ratios: tuple[float, float]
     ) -> Selection | None:
-        """Return the best of what is known, if the request may go there."""
+        """Return the target with the lowest expected latency ratio, if it is acceptable."""
         now = self._loop.time()
-        order = self._chooser.order(self._instances.of(queue.service), now, exclude=tried)
-        order = [i for i in order if now >= i.aside_until] or order
-        if not order:
+        ranked = self._chooser.order(self._instances.of(queue.service), now, exclude=tried)
+        ranked = [i for i in ranked if now >= i.aside_until] or ranked
+        if not ranked:
             return None
-        best = min(order, key=lambda i: self._chooser.expected_ratio(i, now))
-        if not self._bearable(queue, best, most, now):
+        best = min(ranked, key=lambda i: self._chooser.expected_ratio(i, now))
+        if not self._is_acceptable(queue, best, max_ratios, now):
             return None
-        known = now - best.reported_at <= MAX_REPORT_AGE_S
-        return self._pick(best, None, "best" if known else "unasked")
+        has_report = now - best.reported_at <= MAX_REPORT_AGE_S
+        return self._select(best, None, "best" if has_report else "unasked")
 
-    def _bearable(
-        self, queue: ServiceQueue, instance: Instance, most: tuple[float, float], now: Seconds
+    def _is_acceptable(
+        self, queue: ServiceQueue, instance: Instance, max_ratios: tuple[float, float], now: Seconds
     ) -> bool:
         """Return whether a request may be sent to a target that was not good in time.
 
         Notes
         -----
-        Nothing waits at a target: what starts there starts at a speed that nobody
-        knows beforehand, and those behind it are late too.  Where none has been good
-        for a while, slow ones are what there is, and an answer may be late.
+        A request never goes to a target without a free slot.  One that waits there starts
+        at a latency that can't be predicted, and delays the requests queued behind it.
+        Where no target has been good for a while, all of them are slow, so the request may
+        end late.
         """
-        in_time, late = most
-        limit = in_time if now - queue.good_at < _SLOW_FOR_S else late
+        target_limit, timeout_limit = max_ratios
+        limit = target_limit if now - queue.last_good_at < _LATE_ALLOWED_AFTER_S else timeout_limit
         if overload(instance) > 0 or self._chooser.expected_ratio(instance, now) > limit:
             return False
         return (
@@ -269,77 +272,77 @@
             or self._rng.random() < queue.saturation.admission_share
         )
 
-    # -- asking
-
-    def _ask_for(self, queue: ServiceQueue) -> None:
-        """Ask targets for those that wait, a few at a time."""
+    def _start_probes(self, queue: ServiceQueue) -> None:
+        """Start probes for the waiting requests, within the limit of concurrent probes."""
         path = self._probe_path(queue.service)
         if not path:
             return
-        wanted = queue.wanted
-        if wanted <= 0:
+        count = queue.probes_to_start
+        if count <= 0:
             return
-        asked = list(itertools.islice(self._to_ask(queue), wanted))
-        for instance in asked:
+        candidates = list(itertools.islice(self._probe_candidates(queue), count))
+        for instance in candidates:
             self._probes.try_spend(instance.name)
-            queue.asking.add(instance)
-            self._spawn(self._ask(queue, instance, path))
-        if len(asked) < wanted:
-            self._ask_again_later(queue)
+            queue.probing.add(instance)
+            self._spawn(self._probe(queue, instance, path))
+        if len(candidates) < count:
+            self._schedule_probes(queue)
 
-    def _to_ask(self, queue: ServiceQueue) -> Iterator[Instance]:
-        """Yield the targets to ask: none just asked, none whose probes are used up."""
+    def _probe_candidates(self, queue: ServiceQueue) -> Iterator[Instance]:
+        """Yield targets that were not probed just now and have probe budget left."""
         now = self._loop.time()
         for instance in self._chooser.order(self._instances.of(queue.service), now, exclude=()):
-            if instance in queue.asking or now - instance.asked_at < _PAUSE_S:
+            if instance in queue.probing or now - instance.asked_at < _MIN_PROBE_INTERVAL_S:
                 continue
             if self._probes.is_available(instance.name):
                 yield instance
 
-    def _ask_again_later(self, queue: ServiceQueue) -> None:
-        if queue.again is None:
-            queue.again = self._loop.call_later(_PAUSE_S, self._ask_again, queue)
+    def _schedule_probes(self, queue: ServiceQueue) -> None:
+        if queue.probe_timer is None:
+            queue.probe_timer = self._loop.call_later(
+                _MIN_PROBE_INTERVAL_S, self._resume_probes, queue
+            )
 
-    def _ask_again(self, queue: ServiceQueue) -> None:
-        queue.again = None
+    def _resume_probes(self, queue: ServiceQueue) -> None:
+        queue.probe_timer = None
         if queue.waiters:
-            self._ask_for(queue)
+            self._start_probes(queue)
 
-    async def _ask(self, queue: ServiceQueue, instance: Instance, path: str) -> None:
-        """Ask one target; what it says is offered to those that wait."""
+    async def _probe(self, queue: ServiceQueue, instance: Instance, path: str) -> None:
+        """Probe one target, and offer it to the waiting requests if it may be used."""
         instance.asked_at = self._loop.time()
-        patience = self._loop.call_later(_ASK_PATIENCE_S, self._overdue, queue, instance)
+        overdue_timer = self._loop.call_later(_PROBE_OVERDUE_S, self._mark_overdue, queue, instance)
         try:
-            async with asyncio.timeout(_ASK_LOST_S):
-                asked = await self._targets.ask(instance.address, path)
+            async with asyncio.timeout(_PROBE_TIMEOUT_S):
+                probe_result = await self._targets.ask(instance.address, path)
         except TimeoutError:
-            asked = Asked(None, well=False, detail="no answer to a probe")
+            probe_result = Asked(None, well=False, detail="no answer to a probe")
         finally:
-            patience.cancel()
-            queue.asking.discard(instance)
+            overdue_timer.cancel()
+            queue.probing.discard(instance)
             queue.overdue.discard(instance)
-        usable = self._take_answer(instance, asked)
+        usable = self._record_probe(instance, probe_result)
         if usable:
             queue.saturation.record(full=self._chooser.is_saturated(instance))
-        used = usable and self._offer(queue, instance, asked)
+        used = usable and self._offer(queue, instance, probe_result)
         if not used:
-            self._targets.release(instance.address, asked)
+            self._targets.release(instance.address, probe_result)
         if queue.waiters:
-            self._ask_for(queue)
+            self._start_probes(queue)
 
-    def _overdue(self, queue: ServiceQueue, instance: Instance) -> None:
+    def _mark_overdue(self, queue: ServiceQueue, instance: Instance) -> None:
         queue.overdue.add(instance)
         if queue.waiters:
-            self._ask_for(queue)
+            self._start_probes(queue)
 
-    def _take_answer(self, instance: Instance, asked: Asked) -> bool:
-        """Note what a probe told; return whether the target may be used."""
-        status = asked.status or TargetStatus()
-        if asked.instance is None:
-            self._take_wishes(instance, status)
+    def _record_probe(self, instance: Instance, probe_result: Asked) -> bool:
+        """Record the result of a probe; return whether the target may be used."""
+        status = probe_result.status or TargetStatus()
+        if probe_result.instance is None:
+            self._apply_requests(instance, status)
             self._chooser.record_failure(instance, self._loop.time())
             return False
-        if asked.instance != instance.name:
+        if probe_result.instance != instance.name:
             if self._instances.leave(instance.name):
                 event(
                     self._log,
@@ -348,20 +351,20 @@
                     service=instance.listed.service,
                     target=instance.address,
                     sequence=instance.listed.sequence,
-                    now_there=asked.instance,
+                    now_there=probe_result.instance,
                 )
             return False
-        instance.well = asked.well
-        self._take_wishes(instance, status)
-        # A target that tells no load: what this box has there is all that is known.
-        own = TargetReport(instance.own, 0, max(1, instance.listed.slots))
-        instance.heard(status.report or own, self._loop.time())
+        instance.well = probe_result.well
+        self._apply_requests(instance, status)
+        # A target that reports no load counts with this box's own requests there.
+        estimate = TargetReport(instance.own, 0, max(1, instance.listed.slots))
+        instance.heard(status.report or estimate, self._loop.time())
         return not instance.replaced
 
-    def _take_wishes(self, instance: Instance, status: TargetStatus) -> None:
-        """Keep what a target wants: no work for a while, or none at all."""
+    def _apply_requests(self, instance: Instance, status: TargetStatus) -> None:
+        """Apply a target's request for back-off, and its notice that it is leaving."""
         if status.rest:
-            self._take_rest(instance, status.rest)
+            self._apply_backoff(instance, status.rest)
         if status.leaving and self._instances.leave_for_good(instance.name):
             event(
                 self._log,
@@ -373,15 +376,14 @@
                 why="said by itself",
             )
 
-    def _take_rest(self, instance: Instance, rest: Seconds) -> None:
-        """Grant a target the rest it asked for; who waits for it in vain need not wait."""
-        # An idle target that turns requests away looks best of all by its load: without
-        # this, the next request went to it after 0.3 s (median, 72 pairs of box and target).
+    def _apply_backoff(self, instance: Instance, backoff: Seconds) -> None:
+        """Apply the back-off that a target requested, and refuse requests that can't outwait it."""
+        # A target that refuses requests is idle, so by load alone it would be selected next.
         now = self._loop.time()
-        self._instances.rest(instance, now + rest)
-        left = self.backoff_left(instance.listed.service)
-        if left:
-            self._queue(instance.listed.service).refuse_before(now + left)
+        self._instances.rest(instance, now + backoff)
+        remaining = self.backoff_left(instance.listed.service)
+        if remaining:
+            self._queue(instance.listed.service).refuse_until(now + remaining)
         self.backoffs_requested += 1
         event(
             self._log,
@@ -389,12 +391,12 @@
             instance=instance.name,
             service=instance.listed.service,
             target=instance.address,
-            rest_s=round(rest, 3),
+            rest_s=round(backoff, 3),
         )
 
-    def _spawn(self, work: Coroutine[None, None, None]) -> asyncio.Task[None]:
-        """Run something that goes on when the request that began it does not wait for it."""
-        task = self._loop.create_task(work)
-        self._running.add(task)
-        task.add_done_callback(self._running.discard)
+    def _spawn(self, coroutine: Coroutine[None, None, None]) -> asyncio.Task[None]:
+        """Run a task that outlives the request that started it."""
+        task = self._loop.create_task(coroutine)
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
         return task
--- a/dunlinnotch/coordination/choosing/waiting.py
+++ b/dunlinnotch/coordination/choosing/waiting.py
@@ -1,4 +1,4 @@
-"""The requests that wait for a target of one service, and what is being asked for them."""
+"""Queue the requests that wait for a target of one service, and track their probes."""
 
 from __future__ import annotations
 
@@ -16,27 +16,28 @@
     from dunlinnotch.state.instances import Instance
     from dunlinnotch.types import Seconds
 
-#: Probes under way at once for each request that waits: the first good answer ends the
-#: search, and what the others spend is missing when many wait.
-_ASKED_PER_REQUEST = 2
-#: Probes under way at once for one service, at most.
-_ASKED_MOST = 8
+#: Concurrent probes for each waiting request.  The first good result ends the search, and
+#: the other probes are spent in vain.
+_PROBES_PER_WAITER = 2
+#: Concurrent probes for one service.
+_MAX_PROBES = 8
 
 
 @dataclass(frozen=True, slots=True)
 class Selection:
-    """A target chosen, and what was known of it then.
+    """A target selected for a request, and what was known of it at that moment.
 
     Parameters
     ----------
     instance : Instance
     probe : Asked or None
-        The probe that spoke for it, with its connection.
+        The probe that found it, with the probe's connection; ``None`` if no probe did.
     reason : str
-        ``good`` by a probe just answered, ``fresh`` by a report that came otherwise,
-        ``best`` of what is known where none was good in time, ``unasked`` if nothing is.
+        ``good``: a probe for this queue found the target good.  ``fresh``: a recent report
+        from elsewhere did.  ``best``: no target was good in time, and this one has the
+        lowest expected latency ratio.  ``unasked``: as ``best``, without a recent report.
     expected_ratio : float
-        Expected time, as a multiple of the usual one.
+        Expected latency ratio, relative to the usual latency.
     load_at_send : LoadAtSend
     """
 
@@ -49,62 +50,63 @@
 
 @dataclass(slots=True, eq=False)
 class Waiter:
-    """One request that waits for a target, until ``give_up`` in monotonic seconds."""
+    """One request that waits for a target, until ``queue_deadline`` in monotonic seconds."""
 
     rank: int
-    number: int
+    arrival_number: int
     tried: Collection[str]
-    give_up: Seconds
-    #: When its caller first asked, in monotonic seconds.
-    first_try: Seconds
-    #: Up to when a start at a good target ends in time, in monotonic seconds.
+    queue_deadline: Seconds
+    #: When the caller made its first attempt, in monotonic seconds.
+    first_attempt_at: Seconds
+    #: Latest start at a good target that still ends in time, in monotonic seconds.
     start_by: Seconds
-    #: None if no target can be had in time.
-    picked: asyncio.Future[Selection | None]
+    #: Resolves to None if no target becomes available in time.
+    selected: asyncio.Future[Selection | None]
 
-    def order(self, now: Seconds) -> tuple[int, bool, Seconds, int]:
-        """Return the place among those that wait; the least goes first.
+    def sort_key(self, now: Seconds) -> tuple[int, bool, Seconds, int]:
+        """Return the key by which waiting requests are served; the lowest goes first.
 
         Notes
         -----
-        The most urgent go first, then those that can be answered in time, or nobody is
-        under a load where each waits until that is over; then who has asked for longest.
+        Rank comes first.  Requests that can still end in time go before those that can't:
+        under overload, serving the oldest first would make every request late.  Then the
+        caller that made its first attempt earliest goes first.
         """
-        return (self.rank, now > self.start_by, self.first_try, self.number)
+        return (self.rank, now > self.start_by, self.first_attempt_at, self.arrival_number)
 
 
 @dataclass(slots=True, eq=False)
 class ServiceQueue:
-    """The requests that wait for a target of one service."""
+    """The requests that wait for a target of one service, and the probes sent for them."""
 
     service: str
     saturation: Saturation
     waiters: list[Waiter] = field(default_factory=list)
-    #: Targets asked, whose answers are being waited for.
-    asking: set[Instance] = field(default_factory=set)
-    #: Those of them that have had time enough.
+    #: Targets with a probe under way.
+    probing: set[Instance] = field(default_factory=set)
+    #: Those of them that are overdue and no longer count against the limit.
     overdue: set[Instance] = field(default_factory=set)
-    #: When a target was last chosen that was good.
-    good_at: Seconds = -math.inf
-    again: asyncio.TimerHandle | None = None
-
-    def first_for(self, instance: Instance, now: Seconds) -> Waiter | None:
-        """Take out the first request that may go to a target."""
-        able = [waiter for waiter in self.waiters if instance.name not in waiter.tried]
-        if not able:
+    #: When a good target was last selected, in monotonic seconds.
+    last_good_at: Seconds = -math.inf
+    probe_timer: asyncio.TimerHandle | None = None
+
+    def pop_for(self, instance: Instance, now: Seconds) -> Waiter | None:
+        """Remove and return the first request that may go to a target; None if there is none."""
+        eligible = [waiter for waiter in self.waiters if instance.name not in waiter.tried]
+        if not eligible:
             return None
-        first = min(able, key=lambda waiter: waiter.order(now))
+        first = min(eligible, key=lambda waiter: waiter.sort_key(now))
         self.waiters.remove(first)
         return first
 
-    def refuse_before(self, back_at: Seconds) -> None:
-        """End the wait of those that give up before any target can be had."""
-        for waiter in [w for w in self.waiters if w.give_up < back_at]:
+    def refuse_until(self, available_at: Seconds) -> None:
+        """Refuse the requests whose queue deadline is before a target becomes available."""
+        for waiter in [w for w in self.waiters if w.queue_deadline < available_at]:
             self.waiters.remove(waiter)
-            waiter.picked.set_result(None)
+            waiter.selected.set_result(None)
 
     @property
-    def wanted(self) -> int:
-        """Probes that may be sent now."""
-        most = min(_ASKED_MOST, _ASKED_PER_REQUEST * len(self.waiters))
-        return most - len(self.asking) + len(self.overdue)
+    def probes_to_start(self) -> int:
+        """Number of probes that may be started now."""
+        limit = min(_MAX_PROBES, _PROBES_PER_WAITER * len(self.waiters))
+        return limit - len(self.probing) + len(self.overdue)
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -245,7 +245,7 @@
     return None
 
 
-def _bear_anything(self, queue, instance, most, now):
+def _accept_anything(self, queue, instance, max_ratios, now):
     return True
 
 
@@ -253,7 +253,7 @@
     return 1.0
 
 
-def _offer_nothing(self, queue, instance, asked):
+def _offer_nothing(self, queue, instance, probe_result):
     return False
 
 
@@ -398,9 +398,13 @@
         _never_behind,
         "tests/test_following.py",
     ),
-    Mutant("send what can't end in time", TargetSelector, "_bearable", _bear_anything, ENTRY),
+    Mutant(
+        "send what can't end in time", TargetSelector, "_is_acceptable", _accept_anything, ENTRY
+    ),
     Mutant("send to targets found full", Saturation, "admission_share", 1.0, SELECTOR),
-    Mutant("hand no target to those that wait", TargetSelector, "_offer", _offer_nothing, SELECTOR),
+    Mutant(
+        "offer no target to waiting requests", TargetSelector, "_offer", _offer_nothing, SELECTOR
+    ),
     Mutant(
         "learn nothing of fullness",
         LatencyModel,
--- a/tests/test_rest.py
+++ b/tests/test_rest.py
@@ -84,7 +84,9 @@
             await until(lambda: len(world.boxes[0].instances.of("loans")) == 2)
             await asyncio.gather(*(send_for(world.boxes[0], REST_S / 2) for _ in range(4)))
             await until(lambda: turned_away(tired))
-            await until(lambda: not any(q.asking for q in world.boxes[0].selector._queues.values()))
+            await until(
+                lambda: not any(q.probing for q in world.boxes[0].selector._queues.values())
+            )
             before = tired.probes
             await send_for(world.boxes[0], REST_S / 3)
             assert tired.probes == before
--- a/tests/test_selector.py
+++ b/tests/test_selector.py
@@ -1,4 +1,4 @@
-"""Whom a selector asks, and what it takes when nobody is good."""
+"""Which targets the selector probes, and what it selects when none is good."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Targets:
-    """Targets that answer probes at once, each with its slowness and so many running."""
+    """Targets that answer probes at once, with a latency ratio each and `running` requests."""
 
     def __init__(self, slowness, running=0):
         self.slowness = slowness
@@ -35,10 +35,10 @@
         pass
 
 
-def seek(names, *, probes_per_s, times, slowness=None, running=0, **limits):
-    """Look for a target some times, without a pause; return picks and probes sent."""
+def select_times(names, *, probes_per_s, times, slowness=None, running=0, **limits):
+    """Select a target `times` times in a row; return the selections and the probed targets."""
 
-    async def bounded():
+    async def main():
         instances = InstanceList()
         for place, name in names:
             listed = ListedTarget(name, "s", place, f"{name}:1", 3, False, 1, 0.0)
@@ -55,45 +55,49 @@
             rng=random.Random(1),
             log=logging.getLogger("test"),
         )
-        picks = []
+        selections = []
         for _ in range(times):
-            # What was heard before is as good as forgotten.
+            # Outdate all earlier reports.
             for instance in instances.all():
                 instance.reported_at = instance.asked_at = -1e9
-            picks.append(await selector.choose("s", rank=0, tried=(), queue_deadline=0.0, **limits))
-        return [pick and (pick.instance.name, pick.reason) for pick in picks], targets.asked
+            selections.append(
+                await selector.choose("s", rank=0, tried=(), queue_deadline=0.0, **limits)
+            )
+        return [
+            selection and (selection.instance.name, selection.reason) for selection in selections
+        ], targets.asked
 
-    return asyncio.run(bounded())
+    return asyncio.run(main())
 
 
 NEAR = [("hall-a", f"near-{n}") for n in range(4)]
 FAR = [("hall-b", f"far-{n}") for n in range(4)]
 
 
-def test_targets_of_the_own_place_are_asked_first():
-    picks, asked = seek(NEAR + FAR, probes_per_s=1.2, times=1)
+def test_targets_of_the_same_place_are_probed_first():
+    selections, asked = select_times(NEAR + FAR, probes_per_s=1.2, times=1)
     assert [name.partition("-")[0] for name in asked] == ["near", "near"]
-    assert picks[0][1] == "good"
+    assert selections[0][1] == "good"
 
 
-def test_others_are_asked_where_the_probes_of_the_first_are_used_up():
-    """ikenga-gate-grown scale-2: 142 boxes may send each target a probe in 2.8 s."""
-    picks, asked = seek(NEAR + FAR, probes_per_s=1.2, times=4)
+def test_other_targets_are_probed_once_the_budget_of_the_first_is_spent():
+    """With many boxes, each box may probe a target only every few seconds."""
+    selections, asked = select_times(NEAR + FAR, probes_per_s=1.2, times=4)
     assert sorted(asked) == sorted(name for _, name in NEAR + FAR)
-    assert [why for _, why in picks] == ["good"] * 4
+    assert [why for _, why in selections] == ["good"] * 4
 
 
-def test_no_target_is_asked_beyond_its_share():
-    picks, asked = seek(NEAR + FAR, probes_per_s=1.2, times=9)
+def test_no_target_is_probed_beyond_its_budget():
+    selections, asked = select_times(NEAR + FAR, probes_per_s=1.2, times=9)
     assert len(asked) == len(set(asked)) == 8
-    assert [why for _, why in picks[4:]] == ["unasked"] * 5
+    assert [why for _, why in selections[4:]] == ["unasked"] * 5
 
 
-def test_slow_ones_are_passed_over_for_those_asked_next():
+def test_slow_targets_are_skipped_for_those_probed_next():
     slow = {name: 7.0 for _, name in NEAR}
-    picks, asked = seek(NEAR[:2] + FAR, probes_per_s=60.0, times=1, slowness=slow)
+    selections, asked = select_times(NEAR[:2] + FAR, probes_per_s=60.0, times=1, slowness=slow)
     assert len(asked) == 4
-    assert picks[0][0].startswith("far")
+    assert selections[0][0].startswith("far")
 
 
 @pytest.mark.parametrize(
@@ -106,11 +110,11 @@
         (3, 1.0, 9.0, False),
     ],
 )
-def test_what_is_not_good_is_taken_only_where_a_slot_is_free_and_the_end_in_time(
+def test_target_that_is_not_good_needs_a_free_slot_and_an_end_in_time(
     running, slowness, max_ratio, taken
 ):
-    """ikenga-gate-grown scale-2: everybody waited at targets, so nobody was in time."""
-    picks, _ = seek(
+    """Requests queued at targets would delay each other until all are late."""
+    selections, _ = select_times(
         NEAR[:1],
         probes_per_s=60.0,
         times=1,
@@ -118,15 +122,15 @@
         running=running,
         max_ratio_late=max_ratio,
     )
-    assert (picks[0] is not None) is taken
+    assert (selections[0] is not None) is taken
 
 
-def test_a_service_found_full_gets_only_what_starts_fast(monkeypatch):
-    """wusta-listings scale-2: full targets work 1.7 times longer and stayed full for good."""
+def test_saturated_service_gets_only_requests_for_good_targets(monkeypatch):
+    """Saturated targets work more slowly, so full load would keep them saturated."""
     monkeypatch.setattr(LatencyModel, "exploration_share", lambda self, service, fill: 0.0)
-    picks, _ = seek(NEAR, probes_per_s=6000.0, times=40, running=2, max_ratio=9.0)
-    assert [why for _, why in picks[:2]] == ["best"] * 2
-    assert picks[-10:] == [None] * 10
+    selections, _ = select_times(NEAR, probes_per_s=6000.0, times=40, running=2, max_ratio=9.0)
+    assert [why for _, why in selections[:2]] == ["best"] * 2
+    assert selections[-10:] == [None] * 10
 
 
 def test_a_nearly_full_target_is_tried_now_and_then_to_learn_what_that_costs(monkeypatch):
@@ -139,44 +143,41 @@
         "max_ratio": 0.0,
         "max_ratio_late": 0.0,
     }
-    picks, _ = seek(NEAR, **enough)
-    assert [why for _, why in filter(None, picks)].count("good") > 5
+    selections, _ = select_times(NEAR, **enough)
+    assert [why for _, why in filter(None, selections)].count("good") > 5
     slow = {name: 7.0 for _, name in NEAR}
-    picks, _ = seek(NEAR, **enough, slowness=slow)
-    assert not any(picks)
+    selections, _ = select_times(NEAR, **enough, slowness=slow)
+    assert not any(selections)
 
 
-def test_a_slow_target_is_taken_late_only_where_none_has_been_good_for_a_while():
-    async def act(selector, instances, targets, choose):
+def test_late_end_is_accepted_only_without_a_good_target_for_a_while():
+    async def scenario(selector, instances, targets, choose):
         found = choose()
-        await turns()
+        await run_ready()
         targets.answer("t-0")
         assert (await found).reason == "good"
-        # It is slow now, but was good just before: come back rather than be late.
-        assert await answered_slowly(instances, targets, choose) is None
-        tries = [await answered_slowly(instances, targets, choose) for _ in range(60)]
-        assert [pick.reason for pick in filter(None, tries)][-1:] == ["best"]
+        # Slow now but good just before: the request is refused rather than late.
+        assert await choose_while_slow(instances, targets, choose) is None
+        tries = [await choose_while_slow(instances, targets, choose) for _ in range(60)]
+        assert [selection.reason for selection in filter(None, tries)][-1:] == ["best"]
 
-    queued([("hall-a", "t-0")], act)
+    run_with_manual_probes([("hall-a", "t-0")], scenario)
 
 
-async def answered_slowly(instances, targets, choose):
-    """Return what is chosen for a request while the only target says that it is slow."""
+async def choose_while_slow(instances, targets, choose):
+    """Return the selection for a request while the only target reports that it is slow."""
     (instance,) = instances.of("s")
-    # What was heard before is as good as forgotten.
+    # Outdate the earlier report.
     instance.reported_at = instance.asked_at = -1e9
     task = choose(wait=0.0)
-    await turns()
+    await run_ready()
     if targets.waiting:
         targets.answer("t-0", slowness=7.0)
     return await task
 
 
-# -- the queue
-
-
-class SlowTargets(Targets):
-    """Targets whose probes are answered when the test says so."""
+class ManualTargets(Targets):
+    """Targets whose probes are answered by the test."""
 
     def __init__(self):
         super().__init__({})
@@ -197,14 +198,14 @@
         self.waiting.pop(name).set_result(Asked(name, True, TargetStatus(report)))
 
 
-def queued(names, act, **kwargs):
-    """Run ``act`` with a selector whose probes are answered by hand."""
+def run_with_manual_probes(names, scenario, **kwargs):
+    """Run `scenario` with a selector whose probes the test answers."""
 
-    async def bounded():
+    async def main():
         instances = InstanceList()
         for place, name in names:
             instances.take(ListedTarget(name, "s", place, f"{name}:1", 3, False, 1, 0.0), 0.0)
-        targets = SlowTargets()
+        targets = ManualTargets()
         loop = asyncio.get_running_loop()
         selector = TargetSelector(
             instances=instances,
@@ -219,154 +220,152 @@
         )
 
         def choose(rank=0, tried=(), wait=20.0):
-            give_up = loop.time() + wait
+            queue_deadline = loop.time() + wait
             work = selector.choose(
-                "s", rank=rank, tried=tried, queue_deadline=give_up, max_ratio=1.0
+                "s", rank=rank, tried=tried, queue_deadline=queue_deadline, max_ratio=1.0
             )
             return asyncio.ensure_future(work)
 
-        await act(selector, instances, targets, choose)
+        await scenario(selector, instances, targets, choose)
 
-    asyncio.run(bounded())
+    asyncio.run(main())
 
 
-async def turns():
-    """Let everything that is ready run."""
+async def run_ready():
+    """Run the callbacks that are ready."""
     for _ in range(20):
         await asyncio.sleep(0)
 
 
-def test_each_that_waits_has_two_probes_under_way_and_all_together_a_bounded_number():
-    async def act(selector, instances, targets, choose):
+def test_each_waiting_request_has_two_probes_within_the_limit_of_the_service():
+    async def scenario(selector, instances, targets, choose):
         waiting = [choose()]
-        await turns()
+        await run_ready()
         assert len(targets.asked) == 2
         waiting += [choose() for _ in range(9)]
-        await turns()
+        await run_ready()
         assert len(targets.asked) == len(set(targets.asked)) == 8
         for task in waiting:
             task.cancel()
 
-    queued([("hall-a", f"t-{n}") for n in range(20)], act)
+    run_with_manual_probes([("hall-a", f"t-{n}") for n in range(20)], scenario)
 
 
-def test_the_most_urgent_that_waits_gets_the_first_good_target():
-    async def act(selector, instances, targets, choose):
+def test_lowest_rank_gets_the_first_good_target():
+    async def scenario(selector, instances, targets, choose):
         later, urgent = choose(rank=2), choose(rank=0)
-        await turns()
-        # It has room for one: a third of three slots would be slow.
+        await run_ready()
+        # One of three slots is in use; a third request would be slowed down.
         targets.answer("t-0", running=1)
-        await turns()
+        await run_ready()
         assert urgent.done()
         assert not later.done()
         targets.answer("t-1")
         assert (await later).instance.name == "t-1"
 
-    queued([("hall-a", "t-0"), ("hall-a", "t-1")], act)
+    run_with_manual_probes([("hall-a", "t-0"), ("hall-a", "t-1")], scenario)
 
 
-def test_an_answer_s_report_hands_its_target_to_one_that_waits():
-    async def act(selector, instances, targets, choose):
+def test_report_with_an_answer_serves_a_waiting_request():
+    async def scenario(selector, instances, targets, choose):
         waiting = [choose() for _ in range(3)]
-        await turns()
+        await run_ready()
         (instance,) = instances.of("s")
-        # One of three slots is taken; a third one would be slow.
+        # One of three slots is in use; a third request would be slowed down.
         selector.record_status(instance, TargetStatus(TargetReport(1, 0, 3)))
-        await turns()
+        await run_ready()
         assert [task.done() for task in waiting] == [True, False, False]
         assert waiting[0].result().reason == "fresh"
         for task in waiting[1:]:
             task.cancel()
 
-    queued([("hall-a", "t-0")], act)
+    run_with_manual_probes([("hall-a", "t-0")], scenario)
 
 
-def test_a_target_that_was_tried_is_not_handed_to_the_same_request():
-    async def act(selector, instances, targets, choose):
+def test_target_already_tried_is_not_given_to_the_same_request():
+    async def scenario(selector, instances, targets, choose):
         again, other = choose(tried=("t-0",)), choose()
-        await turns()
+        await run_ready()
         targets.answer("t-0")
-        await turns()
+        await run_ready()
         assert other.done()
         assert not again.done()
         targets.answer("t-1")
         assert (await again).instance.name == "t-1"
 
-    queued([("hall-a", "t-0"), ("hall-a", "t-1")], act)
+    run_with_manual_probes([("hall-a", "t-0"), ("hall-a", "t-1")], scenario)
 
 
-def test_a_request_that_is_given_up_leaves_the_queue_and_gives_back_its_target():
-    async def act(selector, instances, targets, choose):
+def test_cancelled_request_leaves_the_queue_and_releases_its_target():
+    async def scenario(selector, instances, targets, choose):
         first, second = choose(), choose()
-        await turns()
+        await run_ready()
         targets.answer("t-0")
         first.cancel()
-        await turns()
+        await run_ready()
         (instance,) = instances.of("s")
         assert first.cancelled()
-        # Whoever comes next finds the target as free as before.
+        # The cancelled request no longer counts at the target.
         assert second.done()
         assert instance.sent_since_report == 1
 
-    queued([("hall-a", "t-0")], act)
+    run_with_manual_probes([("hall-a", "t-0")], scenario)
 
 
-def test_a_probe_that_hangs_does_not_hold_up_the_next():
-    async def act(selector, instances, targets, choose):
+def test_hanging_probes_do_not_delay_the_next_ones():
+    async def scenario(selector, instances, targets, choose):
         waiting = choose()
-        await turns()
+        await run_ready()
         assert len(targets.asked) == 2
-        while len(targets.asked) < 4:  # nobody answers; others are asked all the same
+        while len(targets.asked) < 4:  # unanswered probes do not block others
             await asyncio.sleep(0.001)
         targets.answer(targets.asked[3])
         assert (await waiting).instance.name == targets.asked[3]
 
-    queued([("hall-a", f"t-{n}") for n in range(6)], act)
-
+    run_with_manual_probes([("hall-a", f"t-{n}") for n in range(6)], scenario)
 
-# -- targets that rest
 
-REST = TargetStatus(TargetReport(0, 0, 3), rest=30.0)
-SHORT_REST = TargetStatus(TargetReport(0, 0, 3), rest=0.05)
+BACKOFF = TargetStatus(TargetReport(0, 0, 3), rest=30.0)
+SHORT_BACKOFF = TargetStatus(TargetReport(0, 0, 3), rest=0.05)
 
 
-def test_a_target_that_asks_for_rest_is_not_handed_to_those_that_wait():
-    async def act(selector, instances, targets, choose):
+def test_target_in_backoff_is_not_given_to_waiting_requests():
+    async def scenario(selector, instances, targets, choose):
         waiting = choose()
-        await turns()
-        selector.record_status(instances.find("t-0"), REST)
-        await turns()
+        await run_ready()
+        selector.record_status(instances.find("t-0"), BACKOFF)
+        await run_ready()
         assert not waiting.done()
-        # A probe answered before does not speak for it any more.
+        # A probe sent before the back-off does not make the target available.
         targets.answer("t-0")
-        await turns()
+        await run_ready()
         assert not waiting.done()
         targets.answer("t-1")
         assert (await waiting).instance.name == "t-1"
 
-    queued([("hall-a", "t-0"), ("hall-a", "t-1")], act)
+    run_with_manual_probes([("hall-a", "t-0"), ("hall-a", "t-1")], scenario)
 
 
-def test_nobody_waits_once_the_last_target_rests_for_longer():
-    async def act(selector, instances, targets, choose):
+def test_waiting_requests_are_refused_once_all_targets_back_off_past_their_deadline():
+    async def scenario(selector, instances, targets, choose):
         waiting = [choose(), choose(rank=2)]
-        await turns()
-        selector.record_status(instances.find("t-0"), REST)
-        await turns()
+        await run_ready()
+        selector.record_status(instances.find("t-0"), BACKOFF)
+        await run_ready()
         assert not any(task.done() for task in waiting)
-        selector.record_status(instances.find("t-1"), REST)
+        selector.record_status(instances.find("t-1"), BACKOFF)
         assert await asyncio.gather(*waiting) == [None, None]
         assert await choose() is None
         assert 29 < selector.backoff_left("s") <= 30
 
-    queued([("hall-a", "t-0"), ("hall-a", "t-1")], act)
+    run_with_manual_probes([("hall-a", "t-0"), ("hall-a", "t-1")], scenario)
 
 
-def test_a_rest_that_ends_in_time_is_waited_for():
-    async def act(selector, instances, targets, choose):
-        selector.record_status(instances.find("t-0"), SHORT_REST)
+def test_backoff_that_ends_before_the_queue_deadline_is_waited_for():
+    async def scenario(selector, instances, targets, choose):
+        selector.record_status(instances.find("t-0"), SHORT_BACKOFF)
         waiting = choose()
-        await turns()
+        await run_ready()
         assert not targets.asked
         while not targets.asked:
             await asyncio.sleep(0.001)
@@ -374,15 +373,15 @@
         targets.answer("t-0")
         assert (await waiting).instance.name == "t-0"
 
-    queued([("hall-a", "t-0")], act)
+    run_with_manual_probes([("hall-a", "t-0")], scenario)
 
 
-def test_a_probe_that_is_turned_away_asks_for_rest_too():
-    async def act(selector, instances, targets, choose):
+def test_refused_probe_can_request_backoff():
+    async def scenario(selector, instances, targets, choose):
         waiting = choose()
-        await turns()
-        targets.waiting.pop("t-0").set_result(Asked("t-0", well=False, status=REST))
+        await run_ready()
+        targets.waiting.pop("t-0").set_result(Asked("t-0", well=False, status=BACKOFF))
         assert await waiting is None
         assert selector.backoff_left("s") > 29
 
-    queued([("hall-a", "t-0")], act)
+    run_with_manual_probes([("hall-a", "t-0")], scenario)
