--- a/dunlinnotch/coordination/choosing/fresh_reports.py
+++ b/dunlinnotch/coordination/choosing/fresh_reports.py
@@ -1,9 +1,9 @@
-"""Choose a target by reports of the last milliseconds.
+"""Rank targets by load reports that are a few milliseconds old.
 
-Where a target's speed changes many times a second, what calls bring back is
-stale when it is needed.  So a few candidates are asked just before a call is
-sent; this module says whom to ask, and which of the answers is good enough.
-See ``docs/design/fresh-reports.md``.
+Where the latency of a target changes many times a second, a report from an earlier answer
+is stale when it is needed.  So a few candidates are probed just before a request is sent.
+This module decides which targets to probe and which reports are good enough to send the
+request.  See ``docs/design/fresh-reports.md``.
 """
 
 from __future__ import annotations
@@ -19,81 +19,81 @@
     from dunlinnotch.state.target_status import TargetStatus
     from dunlinnotch.types import Seconds
 
-#: A report this young is as good as a new one, in seconds.
+#: Age up to which a report needs no new probe, in seconds.
 MAX_FRESH_AGE_S = 0.012
-#: A report says something of a target's speed for about this long, in seconds.
+#: Age up to which a report is used at all, in seconds.
 MAX_REPORT_AGE_S = 0.3
-#: Expected time, as a multiple of an idle target's, up to which a target is taken at once.
+#: Expected latency ratio up to which a request is sent without looking for a better target.
 MAX_GOOD_RATIO = 1.35
-#: Failures in a row after which a target is set aside.
-_ASIDE_AFTER = 2
-#: Shortest and longest time that a target is set aside, in seconds.
-_ASIDE_S = (0.5, 4.0)
-_COLD_FACTOR = 1.6
-#: A health check that says no may lie; the target is used if no other is better.
-_ILL_FACTOR = 3.0
-#: What a target in another place is charged.
-_AWAY = 0.15
-#: Expected time of a target of which nothing is known.
-_UNKNOWN = 6.0
+#: Consecutive failures after which a target is ejected.
+_EJECT_AFTER_FAILURES = 2
+#: Minimum and maximum ejection time, in seconds; it doubles with each further failure.
+_EJECTION_RANGE_S = (0.5, 4.0)
+#: Factors and penalty on the expected latency ratio of a target.
+_SLOW_START_FACTOR = 1.6
+#: Finite, because a failing health check may be wrong: the target stays a last choice.
+_UNHEALTHY_FACTOR = 3.0
+_REMOTE_PLACE_PENALTY = 0.15
+#: Expected latency ratio of a target without a usable report.
+_UNKNOWN_RATIO = 6.0
 
 
 def expected_latency_ratio(
-    instance: Instance, now: Seconds, *, place: str = "", slowed: float = 1.0
+    instance: Instance, now: Seconds, *, place: str = "", slowdown: float = 1.0
 ) -> float:
-    """Return how long work would take at a target, as a multiple of the usual time.
+    """Return the expected latency ratio of a request at a target: 1.0 is the usual latency.
 
     Parameters
     ----------
     instance : Instance
     now : float
     place : str, optional
-        The asking box's; targets elsewhere are charged for the way.
-    slowed : float, default 1.0
-        How many times longer work takes at a target so full.
+        Place of this box; a target in another place gets a penalty.
+    slowdown : float, default 1.0
+        Factor by which the utilisation of the target raises the latency.
 
     Returns
     -------
     float
-        A target without a fresh report never looks good.
+        Never within `MAX_GOOD_RATIO` for a target without a usable report.
     """
     report = instance.report
     if report is None or now - instance.reported_at > MAX_REPORT_AGE_S:
-        return _UNKNOWN + instance.own
-    rounds = 1.0 + max(0.0, overload(instance))
-    cold = _COLD_FACTOR if now < instance.cold_until else 1.0
-    ill = 1.0 if instance.well else _ILL_FACTOR
-    away = _AWAY if place and instance.listed.place != place else 0.0
-    return max(0.2, report.slowness) * slowed * rounds * cold * ill + away
+        return _UNKNOWN_RATIO + instance.own
+    queueing = 1.0 + max(0.0, overload(instance))
+    slow_start = _SLOW_START_FACTOR if now < instance.cold_until else 1.0
+    unhealthy = 1.0 if instance.well else _UNHEALTHY_FACTOR
+    remote = _REMOTE_PLACE_PENALTY if place and instance.listed.place != place else 0.0
+    return max(0.2, report.slowness) * slowdown * queueing * slow_start * unhealthy + remote
 
 
 def overload(instance: Instance) -> float:
-    """Return the requests at a target beyond its slots, as a share of the slots."""
+    """Return by how much one more request would exceed the slots, as a share of the slots."""
     if instance.report is None:
         return 0.0
     return utilisation(instance) - 1.0
 
 
 def utilisation(instance: Instance) -> float:
-    """Return the share of a target's slots in use with one more request."""
+    """Return the share of a target's slots in use with one more request; above 1 it queues."""
     slots = 1 if instance.report is None else max(1, instance.report.slots)
     return (instance.ahead + 1) / slots
 
 
-def _is_out(instance: Instance, now: Seconds) -> bool:
-    """Return whether a target rests or is set aside."""
+def _is_excluded(instance: Instance, now: Seconds) -> bool:
+    """Return whether a target is in back-off or ejected."""
     return now < max(instance.rest_until, instance.aside_until)
 
 
 class FreshReportChooser:
-    """Say whom to ask, and note how targets do.
+    """Order targets for probing, judge their reports and eject those that fail.
 
     Parameters
     ----------
     place : str
-        The box's own.
+        Place of this box.
     latency_model : LatencyModel
-        What was learnt of how long work takes.
+        Learnt latencies and slowdowns.
     rng : random.Random
     """
 
@@ -105,14 +105,14 @@
     def order(
         self, instances: Iterable[Instance], now: Seconds, *, exclude: Collection[str]
     ) -> list[Instance]:
-        """Return the targets in the order in which to ask them.
+        """Return the usable targets in the order in which to probe them.
 
         Notes
         -----
-        First those of the own place of which nothing bad was heard lately,
-        then others, then those heard to be slow or full, then those set
-        aside; by chance among equals, so that boxes do not run to the same one.
-        Those that rest are neither asked nor sent anything.
+        Targets of this box's place come first, then those of other places, then those
+        reported slow or saturated, then those missing from the store, then ejected ones.
+        Ties are ordered at random, so that boxes don't all use the same target.  Targets
+        in back-off are left out.
         """
         usable = [
             i for i in instances if i.name not in exclude and not i.replaced and now >= i.rest_until
@@ -120,77 +120,79 @@
         return sorted(usable, key=lambda i: (self._tier(i, now), self._rng.random()))
 
     def _tier(self, instance: Instance, now: Seconds) -> int:
-        away = instance.listed.place != self._place
+        remote = instance.listed.place != self._place
         if now < instance.aside_until:
             return 5
         if instance.lapsed_at is not None:
             return 4
-        heard = now - instance.reported_at < MAX_REPORT_AGE_S
+        reported = now - instance.reported_at < MAX_REPORT_AGE_S
         if (
-            heard
-            and expected_latency_ratio(instance, now, slowed=self._slowed(instance))
+            reported
+            and expected_latency_ratio(instance, now, slowdown=self._slowdown(instance))
             > MAX_GOOD_RATIO
         ):
-            return 2 + away
-        return int(away)
+            return 2 + remote
+        return int(remote)
 
     def expected_ratio(self, instance: Instance, now: Seconds) -> float:
-        """Return the expected time, the way to another place included."""
+        """Return the expected latency ratio, with the penalty for another place."""
         return expected_latency_ratio(
-            instance, now, place=self._place, slowed=self._slowed(instance)
+            instance, now, place=self._place, slowdown=self._slowdown(instance)
         )
 
     def is_good(self, instance: Instance, now: Seconds) -> bool:
-        """Return whether to send to a target without asking further ones."""
-        if overload(instance) > 0 or _is_out(instance, now):
+        """Return whether a request may go to a target without probing others."""
+        if overload(instance) > 0 or _is_excluded(instance, now):
             return False
         return (
-            expected_latency_ratio(instance, now, slowed=self._slowed(instance)) <= MAX_GOOD_RATIO
+            expected_latency_ratio(instance, now, slowdown=self._slowdown(instance))
+            <= MAX_GOOD_RATIO
         )
 
     def is_saturated(self, instance: Instance) -> bool:
-        """Return whether one more request would wait or be slowed down there."""
-        return overload(instance) > 0 or self._slowed(instance) > MAX_GOOD_RATIO
+        """Return whether one more request would queue or be slowed down at a target."""
+        return overload(instance) > 0 or self._slowdown(instance) > MAX_GOOD_RATIO
 
     def explores(self, instance: Instance, now: Seconds) -> bool:
-        """Return whether to send to a target nearly full, to learn what that costs."""
-        if overload(instance) > 0 or _is_out(instance, now):
+        """Return whether to send to a nearly saturated target, to learn its slowdown."""
+        if overload(instance) > 0 or _is_excluded(instance, now):
             return False
         if expected_latency_ratio(instance, now) > MAX_GOOD_RATIO:
             return False
-        part = self._latency_model.exploration_share(instance.listed.service, utilisation(instance))
-        return self._rng.random() < part
+        share = self._latency_model.exploration_share(
+            instance.listed.service, utilisation(instance)
+        )
+        return self._rng.random() < share
 
-    def _slowed(self, instance: Instance) -> float:
+    def _slowdown(self, instance: Instance) -> float:
         if instance.ahead == 0:
             return 1.0
         return self._latency_model.slowdown(instance.listed.service, utilisation(instance))
 
     @staticmethod
     def record_failure(instance: Instance, now: Seconds) -> None:
-        """Note a failure; several in a row set the target aside for a while."""
+        """Record a failure; consecutive failures eject the target for a while."""
         instance.failures += 1
-        over = instance.failures - _ASIDE_AFTER
-        if over >= 0:
-            shortest, longest = _ASIDE_S
-            instance.aside_until = now + min(longest, shortest * 2**over)
+        excess_failures = instance.failures - _EJECT_AFTER_FAILURES
+        if excess_failures >= 0:
+            min_s, max_s = _EJECTION_RANGE_S
+            instance.aside_until = now + min(max_s, min_s * 2**excess_failures)
 
-    def record_refusal(self, instance: Instance, said: TargetStatus, now: Seconds) -> None:
-        """Note that a target turned a request away, and what it said with that.
+    def record_refusal(self, instance: Instance, status: TargetStatus, now: Seconds) -> None:
+        """Record that a target refused a request, with the status it sent.
 
         Notes
         -----
-        One that is full, or asks for rest, says why.  One that says it has room is idle
-        for turning work away and looks best of all by its load, so it is set aside as one
-        that fails: with three in ten targets turning all away, refused requests fell from
-        387 to 52 of 11,900 (one day of 17 boxes each).
+        A refusal counts as a failure if the target reports free slots and requests no
+        back-off.  Such a target is idle because it refuses, so by load alone it would keep
+        attracting requests.
         """
-        report = said.report
-        if report is not None and report.running < report.slots and not said.rest:
+        report = status.report
+        if report is not None and report.running < report.slots and not status.rest:
             self.record_failure(instance, now)
 
     @staticmethod
     def record_success(instance: Instance) -> None:
-        """Note an answer that was as it should be."""
+        """Record a successful answer, which ends an ejection."""
         instance.failures = 0
         instance.aside_until = 0.0
--- a/tests/test_fresh_reports.py
+++ b/tests/test_fresh_reports.py
@@ -1,4 +1,4 @@
-"""A target without a fresh report never looks good, and full or slow ones wait their turn."""
+"""Which targets are good, in which order targets are probed, and when they are ejected."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     [
         ((0, 0, 6, 1.0), 0.0, True),
         ((3, 0, 6, 1.0), 0.1, True),
-        ((4, 0, 6, 1.0), 0.0, False),  # nearly full, and nothing learnt yet
+        ((4, 0, 6, 1.0), 0.0, False),  # nearly saturated, and nothing learnt yet
         ((6, 0, 6, 1.0), 0.0, False),
         ((0, 0, 1, 1.0), 0.0, True),
         ((1, 0, 1, 1.0), 0.0, False),
@@ -40,12 +40,12 @@
         (None, 0.0, False),
     ],
 )
-def test_only_a_free_target_of_usual_speed_by_a_fresh_report_is_good(report, age, good):
+def test_good_needs_a_recent_report_of_free_slots_and_usual_latency(report, age, good):
     chooser = FreshReportChooser(place="hall-a", latency_model=LatencyModel(), rng=random.Random(1))
     assert chooser.is_good(target(report=report, age=age), NOW) is good
 
 
-def test_own_requests_sent_since_the_report_count():
+def test_requests_sent_since_the_report_count():
     instance = target(report=(2, 0, 3, 1.0))
     before = expected_latency_ratio(instance, NOW)
     instance.sent_since_report = 2
@@ -53,28 +53,28 @@
     assert overload(instance) == pytest.approx(2 / 3)
 
 
-def test_a_target_that_says_it_is_ill_is_used_only_if_no_other_is_better():
-    ill = target(report=(0, 0, 6, 1.0))
-    ill.well = False
-    assert expected_latency_ratio(ill, NOW) > MAX_GOOD_RATIO
-    assert expected_latency_ratio(ill, NOW) < expected_latency_ratio(
+def test_unhealthy_target_ranks_below_good_and_above_very_slow_ones():
+    unhealthy = target(report=(0, 0, 6, 1.0))
+    unhealthy.well = False
+    assert expected_latency_ratio(unhealthy, NOW) > MAX_GOOD_RATIO
+    assert expected_latency_ratio(unhealthy, NOW) < expected_latency_ratio(
         target(report=(0, 0, 6, 7.0)), NOW
     )
 
 
-def test_order_is_own_place_then_others_then_slow_then_aside():
+def test_order_is_same_place_then_others_then_slow_then_ejected():
     chooser = FreshReportChooser(place="hall-a", latency_model=LatencyModel(), rng=random.Random(1))
     near, far = target("near"), target("far", place="hall-b")
     slow = target("slow", report=(0, 0, 6, 7.0))
-    aside = target("aside")
+    ejected = target("aside")
     for _ in range(3):
-        chooser.record_failure(aside, NOW)
-    order = chooser.order([aside, slow, far, near], NOW, exclude=())
+        chooser.record_failure(ejected, NOW)
+    order = chooser.order([ejected, slow, far, near], NOW, exclude=())
     assert [i.name for i in order] == ["near", "far", "slow", "aside"]
     assert [i.name for i in chooser.order([near, far], NOW, exclude={"near"})] == ["far"]
 
 
-def test_failures_set_aside_for_a_while_and_an_answer_ends_it():
+def test_failures_eject_for_a_while_and_a_success_ends_it():
     chooser = FreshReportChooser(place="hall-a", latency_model=LatencyModel(), rng=random.Random(1))
     instance = target(report=(0, 0, 6, 1.0))
     chooser.record_failure(instance, NOW)
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize(
-    ("said", "aside"),
+    ("status", "ejected"),
     [
         (TargetStatus(TargetReport(0, 0, 6)), True),
         (TargetStatus(TargetReport(5, 0, 6)), True),
@@ -97,9 +97,9 @@
         (TargetStatus(), False),
     ],
 )
-def test_only_what_is_turned_away_in_spite_of_room_counts_as_failures(said, aside):
+def test_refusal_counts_as_failure_only_with_free_slots_and_no_backoff(status, ejected):
     chooser = FreshReportChooser(place="hall-a", latency_model=LatencyModel(), rng=random.Random(1))
     instance = target()
     for _ in range(2):
-        chooser.record_refusal(instance, said, NOW)
-    assert (instance.aside_until > NOW) is aside
+        chooser.record_refusal(instance, status, NOW)
+    assert (instance.aside_until > NOW) is ejected
