--- a/dunlinnotch/coordination/choosing/latency_model.py
+++ b/dunlinnotch/coordination/choosing/latency_model.py
@@ -1,8 +1,8 @@
-"""Learn how long work takes: the usual time of each kind, and what fullness adds to it.
+"""Learn the usual latency of each kind of request, and the slowdown by utilisation.
 
-Many targets work more slowly on what they start while nearly all their slots are
-taken; where that begins, and how much it costs, differs from service to service.
-It is learnt from answers to requests whose target was known when they were sent.
+Many targets run requests more slowly while nearly all their slots are in use.  From which
+utilisation, and by how much, differs between services.  It is learnt from the answers to
+requests that were sent on a recent load report.
 """
 
 from __future__ import annotations
@@ -14,78 +14,77 @@
 if TYPE_CHECKING:
     from dunlinnotch.types import Seconds
 
-#: A target is compared by the tenth of its slots in use.
-_STEPS = 10
-#: What is taken to hold until answers tell: the last fifth of the slots is slow, as on
-#: the targets measured first (``docs/design/overload.md``).
-_PRIOR_FROM, _PRIOR_FACTOR = 0.8, 1.7
-#: Answers that outweigh what was taken to hold.
-_PRIOR_WEIGHT = 4
-#: Least weight of a new answer: what is learnt follows changes within some 20 answers.
-_GAIN = 0.05
-#: Part of the requests that try a fullness of which nothing is known, and one that is well
-#: known: what no request tries is never learnt, and each try may take longer.
-_TRY_UNKNOWN, _TRY_KNOWN = 0.03, 0.01
-#: A single answer tells no more than so many times the usual time.
-_RATIO_MOST = 5.0
-#: Share of the slots in use up to which a target's answers tell a kind's usual time.
-_FREE_UP_TO = 0.5
-#: A report this young tells how a target was when a request started there, in seconds.
-_YOUNG_S = 0.03
-#: Up to this slowness a target works at its usual speed.
-_USUAL_SLOWNESS = 1.25
+#: Number of utilisation steps for which a slowdown is learnt.
+_UTILISATION_STEPS = 10
+#: Utilisation above which a slowdown is assumed until answers are known, and that slowdown.
+_PRIOR_SLOWDOWN_ABOVE, _PRIOR_SLOWDOWN = 0.8, 1.7
+#: Weight of the assumed slowdown, in answers.
+_PRIOR_ANSWERS = 4
+#: Minimum weight of a new answer, so that estimates keep following changes.
+_MIN_GAIN = 0.05
+#: Share of requests sent to explore a utilisation step taken to be slow, without answers
+#: and with many.  A step that is never explored is never learnt.
+_EXPLORE_UNKNOWN, _EXPLORE_KNOWN = 0.03, 0.01
+#: Latency ratio at which a single answer is capped, so that outliers count less.
+_MAX_RATIO = 5.0
+#: Utilisation up to which an answer counts towards the usual latency of its kind.
+_MAX_UNLOADED_UTILISATION = 0.5
+#: Age up to which a report describes the load that a request met, in seconds.
+_MAX_INFORMATIVE_AGE_S = 0.03
+#: Reported latency ratio up to which a target counts as working at its usual speed.
+_MAX_USUAL_LATENCY_RATIO = 1.25
 
 
 @dataclass(slots=True)
-class _Mean:
-    """A mean that follows changes."""
+class _RunningMean:
+    """Running mean with a minimum weight for new values."""
 
     value: float
     weight: int
 
-    def take(self, value: float) -> None:
+    def add(self, value: float) -> None:
         self.weight += 1
-        self.value += max(_GAIN, 1 / self.weight) * (value - self.value)
+        self.value += max(_MIN_GAIN, 1 / self.weight) * (value - self.value)
 
 
 @dataclass(slots=True)
-class _Slowed:
-    """How long work took against its usual time, both summed up with lapsing weight.
+class _Slowdown:
+    """Slowdown as the ratio of two decaying sums: latencies, and usual latencies.
 
-    Sums, not a mean of ratios: what takes next to no work tells next to nothing.
+    A mean of ratios would give trivially short requests as much weight as long ones.
     """
 
-    took: Seconds
-    usual: Seconds
+    latency: Seconds
+    usual_latency: Seconds
     answers: int = 0
 
     @classmethod
-    def prior(cls, factor: float, usual: Seconds) -> _Slowed:
-        return cls(factor * usual * _PRIOR_WEIGHT, usual * _PRIOR_WEIGHT)
+    def prior(cls, factor: float, usual_latency: Seconds) -> _Slowdown:
+        return cls(factor * usual_latency * _PRIOR_ANSWERS, usual_latency * _PRIOR_ANSWERS)
 
     @property
     def factor(self) -> float:
-        return self.took / self.usual
+        return self.latency / self.usual_latency
 
-    def take(self, took: Seconds, usual: Seconds) -> None:
-        keep = 1.0 - _GAIN
-        self.took = self.took * keep + took
-        self.usual = self.usual * keep + usual
+    def add(self, latency: Seconds, usual_latency: Seconds) -> None:
+        decay = 1.0 - _MIN_GAIN
+        self.latency = self.latency * decay + latency
+        self.usual_latency = self.usual_latency * decay + usual_latency
         self.answers += 1
 
 
 @dataclass(frozen=True, slots=True)
 class LoadAtSend:
-    """What was known of a target when a request was sent there.
+    """Load of a target, as known when a request was sent there.
 
     Parameters
     ----------
     queued_ahead, slots : int
-        Requests there before it, and slots.
+        Requests at the target before this one, and its slots.
     latency_ratio : float
-        How long work took there; 1 is usual.
+        Latency ratio that the target reported; 1.0 is usual.
     report_age : float
-        Age of the report that told it, in seconds.
+        Age of the load report, in seconds.
     """
 
     queued_ahead: int
@@ -95,77 +94,79 @@
 
     @property
     def utilisation(self) -> float:
-        """Share of the slots in use once the request is there."""
+        """Share of the slots in use with this request; above 1 it queues."""
         return (self.queued_ahead + 1) / self.slots
 
     @property
     def is_informative(self) -> bool:
-        """Whether its answer tells of fullness alone."""
+        """Whether utilisation alone explains the latency of the request."""
         return (
-            self.report_age <= _YOUNG_S
-            and self.latency_ratio <= _USUAL_SLOWNESS
+            self.report_age <= _MAX_INFORMATIVE_AGE_S
+            and self.latency_ratio <= _MAX_USUAL_LATENCY_RATIO
             and self.queued_ahead < self.slots
         )
 
 
 class LatencyModel:
-    """The usual time of each kind of request, and what fullness adds in each service."""
+    """Usual latency of each kind of request, and slowdown by utilisation of each service."""
 
     def __init__(self) -> None:
-        self._usual: dict[str, _Mean] = {}
-        self._slowed: dict[tuple[str, int], _Slowed] = {}
+        self._usual_latencies: dict[str, _RunningMean] = {}
+        self._slowdowns: dict[tuple[str, int], _Slowdown] = {}
 
     def usual_latency(self, kind: str) -> Seconds | None:
-        """Return how long a kind takes at a target with free slots; None if not known."""
-        found = self._usual.get(kind)
-        return None if found is None else found.value
+        """Return the latency of a kind at a target with free slots, in seconds; None if unknown."""
+        estimate = self._usual_latencies.get(kind)
+        return None if estimate is None else estimate.value
 
-    def slowdown(self, service: str, fill: float) -> float:
-        """Return how many times longer work takes that starts at a target so full.
+    def slowdown(self, service: str, utilisation: float) -> float:
+        """Return the factor by which a utilisation raises the latency.
 
         Parameters
         ----------
         service : str
-        fill : float
+        utilisation : float
             Share of the slots in use with this request.
         """
-        found = self._slowed.get((service, _step(fill)))
-        return _prior(fill) if found is None else found.factor
+        estimate = self._slowdowns.get((service, _step(utilisation)))
+        return _prior(utilisation) if estimate is None else estimate.factor
 
-    def exploration_share(self, service: str, fill: float) -> float:
-        """Return which part of the requests is to try a fullness taken to be slow."""
-        found = self._slowed.get((service, _step(fill)))
-        known = 0 if found is None else found.answers
-        return max(_TRY_KNOWN, 1 / (1 / _TRY_UNKNOWN + known))
+    def exploration_share(self, service: str, utilisation: float) -> float:
+        """Return the share of requests to send to a utilisation that is taken to be slow."""
+        estimate = self._slowdowns.get((service, _step(utilisation)))
+        answers = 0 if estimate is None else estimate.answers
+        return max(_EXPLORE_KNOWN, 1 / (1 / _EXPLORE_UNKNOWN + answers))
 
-    def record(self, kind: str, service: str, start: LoadAtSend, took: Seconds) -> None:
-        """Learn from one answer.
+    def record(self, kind: str, service: str, load: LoadAtSend, latency: Seconds) -> None:
+        """Record the latency of one answer.
 
         Parameters
         ----------
         kind, service : str
-        start : LoadAtSend
-        took : float
+        load : LoadAtSend
+        latency : float
             Seconds from sending the request to its answer.
         """
-        if not start.is_informative:
+        if not load.is_informative:
             return
-        if start.utilisation <= _FREE_UP_TO or start.queued_ahead == 0:
-            self._usual.setdefault(kind, _Mean(took, 0)).take(took)
+        if load.utilisation <= _MAX_UNLOADED_UTILISATION or load.queued_ahead == 0:
+            self._usual_latencies.setdefault(kind, _RunningMean(latency, 0)).add(latency)
             return
-        usual = self.usual_latency(kind)
-        if not usual:
+        usual_latency = self.usual_latency(kind)
+        if not usual_latency:
             return
-        key = (service, _step(start.utilisation))
-        found = self._slowed.get(key)
-        if found is None:
-            found = self._slowed[key] = _Slowed.prior(_prior(start.utilisation), usual)
-        found.take(min(took, _RATIO_MOST * usual), usual)
+        key = (service, _step(load.utilisation))
+        estimate = self._slowdowns.get(key)
+        if estimate is None:
+            estimate = self._slowdowns[key] = _Slowdown.prior(
+                _prior(load.utilisation), usual_latency
+            )
+        estimate.add(min(latency, _MAX_RATIO * usual_latency), usual_latency)
 
 
-def _step(fill: float) -> int:
-    return min(_STEPS, math.ceil(fill * _STEPS - 1e-9))
+def _step(utilisation: float) -> int:
+    return min(_UTILISATION_STEPS, math.ceil(utilisation * _UTILISATION_STEPS - 1e-9))
 
 
-def _prior(fill: float) -> float:
-    return _PRIOR_FACTOR if fill > _PRIOR_FROM else 1.0
+def _prior(utilisation: float) -> float:
+    return _PRIOR_SLOWDOWN if utilisation > _PRIOR_SLOWDOWN_ABOVE else 1.0
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -249,7 +249,7 @@
     return True
 
 
-def _learn_nothing(self, service, fill):
+def _learn_nothing(self, service, utilisation):
     return 1.0
 
 
@@ -406,7 +406,7 @@
         "offer no target to waiting requests", TargetSelector, "_offer", _offer_nothing, SELECTOR
     ),
     Mutant(
-        "learn nothing of fullness",
+        "learn nothing of utilisation",
         LatencyModel,
         "slowdown",
         _learn_nothing,
--- a/tests/test_selector.py
+++ b/tests/test_selector.py
@@ -127,7 +127,7 @@
 
 def test_saturated_service_gets_only_requests_for_good_targets(monkeypatch):
     """Saturated targets work more slowly, so full load would keep them saturated."""
-    monkeypatch.setattr(LatencyModel, "exploration_share", lambda self, service, fill: 0.0)
+    monkeypatch.setattr(LatencyModel, "exploration_share", lambda self, service, utilisation: 0.0)
     selections, _ = select_times(NEAR, probes_per_s=6000.0, times=40, running=2, max_ratio=9.0)
     assert [why for _, why in selections[:2]] == ["best"] * 2
     assert selections[-10:] == [None] * 10
@@ -135,7 +135,7 @@
 
 def test_a_nearly_full_target_is_tried_now_and_then_to_learn_what_that_costs(monkeypatch):
     """bbd-gateway: what nobody tried was taken to be slow for good."""
-    monkeypatch.setattr(LatencyModel, "exploration_share", lambda self, service, fill: 0.5)
+    monkeypatch.setattr(LatencyModel, "exploration_share", lambda self, service, utilisation: 0.5)
     enough = {
         "probes_per_s": 6000.0,
         "times": 20,
