--- a/dunlinnotch/coordination/choosing/saturation.py
+++ b/dunlinnotch/coordination/choosing/saturation.py
@@ -1,9 +1,8 @@
-"""Tell whether the targets of a service are full, from what probes find.
+"""Estimate from probes what share of a service's targets is saturated.
 
-A target whose slots are nearly all taken works more slowly on what it starts,
-so a service whose targets are all full serves less than one whose targets are
-nearly full, and stays full.  What is sent to such targets is therefore thinned
-out as more of the probes find them full.
+A target whose slots are nearly all in use runs requests more slowly, so a service whose
+targets are all saturated has a lower throughput and stays saturated.  The selector
+therefore sends fewer requests to targets that are not good as this share grows.
 """
 
 from __future__ import annotations
@@ -13,16 +12,16 @@
 if TYPE_CHECKING:
     from dunlinnotch.types import Clock, Seconds
 
-#: Weight of a new report in the share: a box hears 10 to 40 a second.
+#: Weight of a new probe result in the share.
 _GAIN = 0.1
-#: What reports told is forgotten when none came for so long, in seconds.
-_FORGET_S = 1.0
-#: Share of full targets up to which a service has room, and from which it has none.
+#: Time without a probe result after which the share is forgotten, in seconds.
+_MAX_AGE_S = 1.0
+#: Shares of saturated targets between which the admission share falls from 1 to 0.
 FULL_ADMISSION_BELOW, NO_ADMISSION_ABOVE = 0.6, 0.85
 
 
 class Saturation:
-    """The share of a service's targets that probes find full.
+    """Running share of probe results that find a target of one service saturated.
 
     Parameters
     ----------
@@ -32,20 +31,20 @@
     def __init__(self, *, clock: Clock) -> None:
         self._clock = clock
         self._share = 0.0
-        self._noted_at: Seconds = clock()
+        self._recorded_at: Seconds = clock()
 
-    def record(self, *, full: bool) -> None:
-        """Take in whether a target that was probed was full."""
-        self._share = self.share + _GAIN * (float(full) - self.share)
-        self._noted_at = self._clock()
+    def record(self, *, saturated: bool) -> None:
+        """Record whether a probed target was saturated."""
+        self._share = self.share + _GAIN * (float(saturated) - self.share)
+        self._recorded_at = self._clock()
 
     @property
     def share(self) -> float:
-        """The share of targets found full lately; 0 where nothing was heard."""
-        return self._share if self._clock() - self._noted_at < _FORGET_S else 0.0
+        """Share of targets found saturated, 0 to 1; 0 without recent probe results."""
+        return self._share if self._clock() - self._recorded_at < _MAX_AGE_S else 0.0
 
     @property
     def admission_share(self) -> float:
-        """Part of the requests that may go to a target that is not good, 0 to 1."""
-        left = (NO_ADMISSION_ABOVE - self.share) / (NO_ADMISSION_ABOVE - FULL_ADMISSION_BELOW)
-        return min(1.0, max(0.0, left))
+        """Share of requests that may go to a target that is not good, 0 to 1."""
+        headroom = (NO_ADMISSION_ABOVE - self.share) / (NO_ADMISSION_ABOVE - FULL_ADMISSION_BELOW)
+        return min(1.0, max(0.0, headroom))
--- a/dunlinnotch/coordination/choosing/selector.py
+++ b/dunlinnotch/coordination/choosing/selector.py
@@ -323,7 +323,7 @@
             queue.overdue.discard(instance)
         usable = self._record_probe(instance, probe_result)
         if usable:
-            queue.saturation.record(full=self._chooser.is_saturated(instance))
+            queue.saturation.record(saturated=self._chooser.is_saturated(instance))
         used = usable and self._offer(queue, instance, probe_result)
         if not used:
             self._targets.release(instance.address, probe_result)
--- a/tests/test_saturation.py
+++ b/tests/test_saturation.py
@@ -1,4 +1,4 @@
-"""How full a service is, by what probes find."""
+"""Share of saturated targets by probe results, and the share of requests admitted."""
 
 from __future__ import annotations
 
@@ -16,35 +16,35 @@
         return self.now
 
 
-def noted(*bad, clock=None):
+def after_probes(*results, clock=None):
     saturation = Saturation(clock=clock or Clock())
-    for found in bad:
-        saturation.record(full=found)
+    for saturated in results:
+        saturation.record(saturated=saturated)
     return saturation
 
 
-def test_where_nothing_was_heard_there_is_room():
-    assert (noted().share, noted().admission_share) == (0.0, 1.0)
+def test_everything_is_admitted_without_probe_results():
+    assert (after_probes().share, after_probes().admission_share) == (0.0, 1.0)
 
 
-def test_the_share_follows_what_probes_find():
-    share = noted(*[True, False] * 50).share
+def test_share_follows_the_probe_results():
+    share = after_probes(*[True, False] * 50).share
     assert 0.4 < share < 0.6
-    assert noted(*[True] * 60).share > NO_ADMISSION_ABOVE
+    assert after_probes(*[True] * 60).share > NO_ADMISSION_ABOVE
 
 
-def test_room_ends_gradually():
-    assert noted(*[True] * 5).admission_share == 1.0  # a few bad ones mean nothing
-    some = noted(*[True] * 11)
-    assert FULL_ADMISSION_BELOW < some.share < NO_ADMISSION_ABOVE
-    assert 0.0 < some.admission_share < 1.0
-    assert noted(*[True] * 60).admission_share == 0.0
+def test_admission_share_falls_gradually():
+    assert after_probes(*[True] * 5).admission_share == 1.0  # a few saturated targets do not matter
+    partly_saturated = after_probes(*[True] * 11)
+    assert FULL_ADMISSION_BELOW < partly_saturated.share < NO_ADMISSION_ABOVE
+    assert 0.0 < partly_saturated.admission_share < 1.0
+    assert after_probes(*[True] * 60).admission_share == 0.0
 
 
-def test_what_is_not_heard_any_more_is_forgotten():
+def test_share_is_forgotten_without_probe_results():
     clock = Clock()
-    saturation = noted(*[True] * 60, clock=clock)
+    saturation = after_probes(*[True] * 60, clock=clock)
     clock.now += 1.5
     assert (saturation.share, saturation.admission_share) == (0.0, 1.0)
-    saturation.record(full=True)
-    assert saturation.share < 0.2  # it starts anew
+    saturation.record(saturated=True)
+    assert saturation.share < 0.2  # the forgotten share does not count
