--- a/dunlinnotch/coordination/budgets/__init__.py
+++ b/dunlinnotch/coordination/budgets/__init__.py
@@ -1,5 +1,5 @@
-"""What measuring and repeating may cost, over the whole system.
+"""Budgets of probes and retries, over all boxes.
 
-Upholds: the sum over all boxes stays within what the settings allow, whatever the
-boxes believe of each other.
+Guarantee: the sum over all boxes stays within the limits of the settings, even while the
+boxes' views of each other differ.
 """
--- a/dunlinnotch/coordination/budgets/probes.py
+++ b/dunlinnotch/coordination/budgets/probes.py
@@ -1,8 +1,8 @@
-"""Probe targets within a budget, and only where calls tell nothing.
+"""Probe targets within a budget, and only those that no call has reported on lately.
 
-Each box gets a fixed share of each target's budget, divided by the most boxes
-that the settings allow, so the sum holds whatever any box believes of the
-others.  See ``docs/design/probe-budget.md``.
+Each box gets a fixed share of each target's budget: the budget divided by the maximum
+number of boxes in the settings.  The sum stays within the budget without coordination.
+See ``docs/design/probe-budget.md``.
 """
 
 from __future__ import annotations
@@ -16,68 +16,69 @@
     from dunlinnotch.state.targets import TargetRecord
     from dunlinnotch.types import Address, Seconds
 
-#: A target heard from within this time needs no probe, in seconds.
-_FRESH_S = 2.0
+#: Time without a report or a call after which a target needs a probe, in seconds.
+_PROBE_AFTER_SILENCE_S = 2.0
 
 
 def probes_per_second(settings: Settings) -> float:
-    """Return how often one box may probe one target.
+    """Return the rate at which one box may probe one target.
 
     Parameters
     ----------
     settings : Settings
-        Of the target's service.
+        Settings of the target's service.
 
     Returns
     -------
     float
-        The lower of the rate limit and the slot-time limit, for one box.
+        Probes per second: the lower of the rate limit and the slot-time limit, divided by
+        the maximum number of boxes.
     """
-    by_share = settings.probe_share * settings.slots * 1000.0 / settings.probe_cost_ms
-    return min(settings.probe_rate, by_share) / settings.boxes_max
+    slot_time_limit = settings.probe_share * settings.slots * 1000.0 / settings.probe_cost_ms
+    return min(settings.probe_rate, slot_time_limit) / settings.boxes_max
 
 
 @dataclass(slots=True)
-class _Spent:
-    """When a target was last probed, and whether a probe is out."""
+class _LastProbe:
+    """When a target was last probed, and whether the probe is in flight."""
 
-    at: Seconds = -math.inf
-    out: bool = False
+    sent_at: Seconds = -math.inf
+    in_flight: bool = False
 
 
 class ProbeBudget:
-    """Say which targets this box may probe now.
+    """Decide which targets this box may probe now.
 
     Notes
     -----
-    Probes are spaced evenly and never saved up, so a box that was paused has
-    no burst to send when it wakes.  Not thread-safe; one prober uses it.
+    Probes are spaced evenly and never saved up, so a box that was paused sends no burst
+    when it resumes.  Not thread-safe.
     """
 
     def __init__(self) -> None:
-        self._spent: dict[Address, _Spent] = {}
+        self._last_probes: dict[Address, _LastProbe] = {}
 
     def needs_probe(self, target: TargetRecord, now: Seconds) -> bool:
-        """Return whether calls leave a gap that a probe would fill."""
+        """Return whether calls have told nothing of a target lately, or it is leaving."""
         if now < target.rest_until:
             return False
-        silent = now - max(target.reported_at, target.last_used) > _FRESH_S
+        silent = now - max(target.reported_at, target.last_used) > _PROBE_AFTER_SILENCE_S
         return silent or target.leaving
 
     def try_spend(self, target: Address, settings: Settings, now: Seconds) -> bool:
-        """Spend one probe of ``target``; return whether the budget allows it."""
+        """Spend one probe of a target; return False if the budget does not allow it now."""
         rate = probes_per_second(settings)
-        spent = self._spent.get(target)
-        if spent is None:
-            # A box that has just started may be one of many: its first probe waits its turn too.
-            self._spent[target] = _Spent(now)
+        last = self._last_probes.get(target)
+        if last is None:
+            # Boxes that restart together would otherwise exceed the budget with first probes.
+            self._last_probes[target] = _LastProbe(now)
             return False
-        if spent.out or rate <= 0.0 or now - spent.at < 1.0 / rate:
+        if last.in_flight or rate <= 0.0 or now - last.sent_at < 1.0 / rate:
             return False
-        spent.at = now
-        spent.out = True
+        last.sent_at = now
+        last.in_flight = True
         return True
 
     def record_end(self, target: Address) -> None:
-        """Note that the probe has come back or was given up."""
-        self._spent[target].out = False
+        """Record that the probe of a target was answered or timed out."""
+        self._last_probes[target].in_flight = False
--- a/dunlinnotch/coordination/budgets/retries.py
+++ b/dunlinnotch/coordination/budgets/retries.py
@@ -2,17 +2,17 @@
 
 from __future__ import annotations
 
-#: Retries that may be saved up in quiet times.
-_MOST_SAVED = 10.0
+#: Maximum number of unspent retries.
+_MAX_SAVED = 10.0
 
 
 class RetryBudget:
-    """Let retries be at most a share of first attempts.
+    """Budget that limits retries to a share of first attempts.
 
     Parameters
     ----------
     share : float, default 0.1
-        Retries earned by one first attempt.
+        Retries added to the budget by each first attempt.
 
     Notes
     -----
@@ -21,14 +21,14 @@
 
     def __init__(self, share: float = 0.1) -> None:
         self.share = share
-        self._saved = _MOST_SAVED
+        self._saved = _MAX_SAVED
 
     def record_first_attempt(self) -> None:
-        """Earn a share of a retry."""
-        self._saved = min(_MOST_SAVED, self._saved + self.share)
+        """Add the share of one first attempt to the budget."""
+        self._saved = min(_MAX_SAVED, self._saved + self.share)
 
     def try_spend(self) -> bool:
-        """Spend one retry; return whether there was one."""
+        """Spend one retry; return False if the budget is spent."""
         if self._saved < 1.0:
             return False
         self._saved -= 1.0
--- a/dunlinnotch/coordination/budgets/shares.py
+++ b/dunlinnotch/coordination/budgets/shares.py
@@ -1,7 +1,7 @@
-"""Budgets of the whole system, held by each box keeping to its own share.
+"""Budgets over all boxes, each box keeping to its own share.
 
-A box's share is the budget divided by the most boxes that may run, so the sum
-holds whatever the boxes believe of each other.
+A box's share is the budget divided by the maximum number of boxes that may run, so the sum
+stays within the budget even while the boxes' views of each other differ.
 """
 
 from __future__ import annotations
@@ -13,25 +13,25 @@
 if TYPE_CHECKING:
     from dunlinnotch.types import Clock, Seconds
 
-#: Part of a budget that is used; the rest covers boxes that restart and forget.
-_USED = 0.85
-#: Requests and repeats are counted in steps of so many seconds.
-_STEP_S = 0.5
+#: Share of a budget that is used; the rest covers boxes that restart with full budgets.
+_USED_SHARE = 0.85
+#: Length of the intervals in which requests and retries are counted, in seconds.
+_COUNT_INTERVAL_S = 0.5
 
 
 class ProbeShare:
-    """The share of one box of the probes that one target may get.
+    """One box's share of the probes that each target may receive.
 
     Parameters
     ----------
     max_per_s : float
-        Most probes a target may get from all boxes together, a second.
+        Maximum number of probes per second to one target, from all boxes together.
     clock : callable
 
     Notes
     -----
-    A token bucket for each target that holds at most one second's share (and
-    never less than one probe).
+    One token bucket for each target.  A bucket holds the share of one second, but at least
+    one probe.
     """
 
     def __init__(self, max_per_s: float, *, clock: Clock) -> None:
@@ -44,18 +44,18 @@
 
     @property
     def rate(self) -> float:
-        """Probes a second that this box may send to one target."""
-        return self.max_per_s * _USED / max(1, self.boxes)
+        """Probes per second that this box may send to one target."""
+        return self.max_per_s * _USED_SHARE / max(1, self.boxes)
 
     def is_available(self, target: str) -> bool:
-        """Return whether a probe of a target may be sent now; count it as denied if not."""
+        """Return whether a target may be probed now; if not, count a denied probe."""
         if self._tokens(target) >= 1.0:
             return True
         self.denied += 1
         return False
 
     def try_spend(self, target: str) -> bool:
-        """Spend one probe of a target; return False if its share is used up."""
+        """Spend one probe of a target; return False if its share is spent."""
         tokens = self._tokens(target)
         if tokens < 1.0:
             self.denied += 1
@@ -65,32 +65,35 @@
         return True
 
     def _tokens(self, target: str) -> float:
-        """Return the probes of a target that are saved up."""
+        """Refill the bucket of a target and return its tokens."""
         now = self._clock()
         rate = self.rate
-        most = max(1.0, rate)
-        tokens, at = self._buckets.get(target, (most, now))
-        tokens = min(most, tokens + (now - at) * rate)
+        max_tokens = max(1.0, rate)
+        tokens, at = self._buckets.get(target, (max_tokens, now))
+        tokens = min(max_tokens, tokens + (now - at) * rate)
         self._buckets[target] = (tokens, now)
         return tokens
 
     def retain(self, targets: set[str]) -> None:
-        """Forget targets that are no more."""
+        """Drop the buckets of all other targets."""
         for target in [t for t in self._buckets if t not in targets]:
             del self._buckets[target]
 
 
 class RetryShare:
-    """The share of one box of the repeats that one service may get.
+    """One box's share of the retries that one service may receive.
 
-    Over each window, all boxes' repeats stay within ``ratio`` times the
-    requests for the service, plus ``slack``.
+    Over each window, the retries of all boxes stay within ``ratio`` times the requests for
+    the service, plus ``slack``.
 
     Parameters
     ----------
-    ratio, slack : float
+    ratio : float
+        Retries allowed for each request.
+    slack : float
+        Retries allowed besides, in each window, from all boxes together.
     window : float
-        Seconds.
+        Length of the window, in seconds.
     clock : callable
     """
 
@@ -100,36 +103,36 @@
         self.window = window
         self.boxes = 1
         self._clock = clock
-        self._steps: deque[tuple[int, int, int]] = deque()
+        self._intervals: deque[tuple[int, int, int]] = deque()
 
     def record_request(self) -> None:
-        """Count a request for the service."""
+        """Record a request for the service."""
         self._add(1, 0)
 
     def try_spend(self) -> bool:
-        """Spend one repeat; return False if the share is used up."""
-        self._forget()
-        requests = sum(step[1] for step in self._steps)
-        repeats = sum(step[2] for step in self._steps)
-        allowed = _USED * (self.ratio * requests + self.slack / max(1, self.boxes))
-        if repeats + 1 > allowed:
+        """Spend one retry; return False if the share is spent."""
+        self._drop_expired()
+        requests = sum(interval[1] for interval in self._intervals)
+        retries = sum(interval[2] for interval in self._intervals)
+        allowed = _USED_SHARE * (self.ratio * requests + self.slack / max(1, self.boxes))
+        if retries + 1 > allowed:
             return False
         self._add(0, 1)
         return True
 
-    def _now(self) -> int:
-        return int(self._clock() / _STEP_S)
-
-    def _add(self, requests: int, repeats: int) -> None:
-        now = self._now()
-        if self._steps and self._steps[-1][0] == now:
-            _, had_requests, had_repeats = self._steps.pop()
-            requests += had_requests
-            repeats += had_repeats
-        self._steps.append((now, requests, repeats))
-        self._forget()
-
-    def _forget(self) -> None:
-        oldest = self._now() - math.ceil(self.window / _STEP_S)
-        while self._steps and self._steps[0][0] < oldest:
-            self._steps.popleft()
+    def _current_interval(self) -> int:
+        return int(self._clock() / _COUNT_INTERVAL_S)
+
+    def _add(self, requests: int, retries: int) -> None:
+        now = self._current_interval()
+        if self._intervals and self._intervals[-1][0] == now:
+            _, earlier_requests, earlier_retries = self._intervals.pop()
+            requests += earlier_requests
+            retries += earlier_retries
+        self._intervals.append((now, requests, retries))
+        self._drop_expired()
+
+    def _drop_expired(self) -> None:
+        oldest = self._current_interval() - math.ceil(self.window / _COUNT_INTERVAL_S)
+        while self._intervals and self._intervals[0][0] < oldest:
+            self._intervals.popleft()
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""Budgets of the whole system hold over every window, however boxes share them."""
+"""The shares of all boxes together stay within the budget, over every window."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Now:
-    """A clock that the test moves."""
+    """Clock that the test advances."""
 
     def __init__(self):
         self.now = 100.0
@@ -23,7 +23,7 @@
     boxes=st.integers(1, 18),
     gaps=st.lists(st.floats(0, 0.2), min_size=20, max_size=300),
 )
-def test_all_boxes_probes_of_one_target_stay_within_the_budget(boxes, gaps):
+def test_probes_of_all_boxes_to_one_target_stay_within_the_budget(boxes, gaps):
     clock = Now()
     shares = [ProbeShare(60.0, clock=clock) for _ in range(boxes)]
     for share in shares:
@@ -35,16 +35,16 @@
             if share.try_spend("t"):
                 sent.append(clock.now)
     length = clock.now - 100.0
-    # Each bucket begins full: at most one second's share, or one probe, beyond the rate.
+    # Buckets start full: each box may exceed the rate by one second's share or one probe.
     assert len(sent) <= 60.0 * length + max(60.0, boxes)
 
 
-def test_a_share_that_is_used_up_fills_again():
+def test_spent_share_refills():
     clock = Now()
     share = ProbeShare(10.0, clock=clock)
     share.boxes = 1
-    taken = sum(share.try_spend("t") for _ in range(100))
-    assert taken == 8
+    spent = sum(share.try_spend("t") for _ in range(100))
+    assert spent == 8
     assert share.denied == 92
     assert share.try_spend("other")
     clock.now += 1.0
@@ -60,30 +60,31 @@
         max_size=200,
     ),
 )
-def test_all_boxes_repeats_stay_within_the_budget_over_every_window(boxes, steps):
+def test_retries_of_all_boxes_stay_within_the_budget_over_every_window(boxes, steps):
     clock = Now()
     shares = [RetryShare(ratio=0.2, slack=62.0, window=10.0, clock=clock) for _ in range(boxes)]
     for share in shares:
         share.boxes = boxes
-    requests, repeats = [], []
-    for gap, box, fresh, again in steps:
+    requests, retries = [], []
+    for gap, box, new_requests, new_retries in steps:
         clock.now += gap
         share = shares[box % boxes]
-        for _ in range(fresh):
+        for _ in range(new_requests):
             share.record_request()
             requests.append(clock.now)
-        for _ in range(again):
+        for _ in range(new_retries):
             if share.try_spend():
-                repeats.append(clock.now)
-    for end in repeats:
-        window = sum(end - 10.0 < at <= end for at in repeats)
-        asked = max(
-            sum(end - back - 10.0 < at <= end - back for at in requests) for back in (0.0, 5.0)
+                retries.append(clock.now)
+    for end in retries:
+        retries_in_window = sum(end - 10.0 < at <= end for at in retries)
+        max_requests = max(
+            sum(end - offset - 10.0 < at <= end - offset for at in requests)
+            for offset in (0.0, 5.0)
         )
-        assert window <= 0.2 * asked + 62.0 + 0.2 * asked * 0.1 + 1
+        assert retries_in_window <= 0.2 * max_requests + 62.0 + 0.2 * max_requests * 0.1 + 1
 
 
-def test_a_box_without_requests_has_its_part_of_the_slack():
+def test_box_without_requests_has_its_share_of_the_slack():
     clock = Now()
     share = RetryShare(ratio=0.2, slack=62.0, window=10.0, clock=clock)
     share.boxes = 17
