--- a/dunlinnotch/coordination/budgets/probe_leases.py
+++ b/dunlinnotch/coordination/budgets/probe_leases.py
@@ -1,9 +1,9 @@
-"""Seats in the table that bound how many boxes may probe.
+"""Leases in the store that limit how many boxes may probe.
 
-Each box's share of a probe budget is the budget divided by ``boxes_max``.
-That holds only if no more than ``boxes_max`` boxes probe, whatever any box
-believes of the others, so a box probes only while it holds one of
-``boxes_max`` leased seats.  See ``docs/design/probe-budget.md``.
+Each box's share of a probe budget is the budget divided by ``boxes_max``.  The sum stays
+within the budget only if at most ``boxes_max`` boxes probe, so a box probes only while it
+holds one of ``boxes_max`` probe leases.  Each lease is one row of the store.  See
+``docs/design/probe-budget.md``.
 """
 
 from __future__ import annotations
@@ -26,11 +26,10 @@
     from dunlinnotch.types import Clock
 
 KEY_PREFIX = "probe-seat/"
-#: How long a lease lasts, in seconds.
 DEFAULT_LEASE_S = 300.0
-#: A seat is taken over only so long after its lease must have lapsed, as a
-#: share of the lease: room for clocks that run at different speeds.
-_DRIFT = 0.05
+#: Time for which an expired lease is still left to its holder, as a share of the lease:
+#: clocks may run at different speeds.
+_CLOCK_DRIFT = 0.05
 _SCAN_LIMIT = 10_000
 
 _log = logging.getLogger(__name__)
@@ -39,15 +38,15 @@
 @wire
 @dataclass(frozen=True, slots=True)
 class ProbeLeaseValue:
-    """Value of a seat's row.
+    """Value of the row of a probe lease.
 
     Parameters
     ----------
     box : str
     incarnation : int
-        With ``box``, the one process that holds the seat.
+        Together with ``box``, identifies the process that holds the lease.
     lease_s : float
-        Length of the lease.
+        Length of the lease, in seconds.
     """
 
     box: str
@@ -56,15 +55,15 @@
 
 
 @dataclass(slots=True)
-class _Seen:
-    """A version of a seat's row, and when this box first saw it."""
+class _SeenVersion:
+    """Version of a row, and when this box first read it, in monotonic seconds."""
 
     version: int
-    at: Seconds
+    since: Seconds
 
 
 class ProbeLeaseHolder:
-    """Hold one seat.
+    """Acquire and renew one probe lease for this box.
 
     Parameters
     ----------
@@ -73,6 +72,7 @@
     incarnation : int
     clock : callable
     lease_s : float, default 300.0
+        Length of the lease, in seconds.
     """
 
     def __init__(
@@ -89,51 +89,51 @@
         self._incarnation = incarnation
         self._clock = clock
         self._lease_s = lease_s
-        self._seen: dict[str, _Seen] = {}
+        self._seen: dict[str, _SeenVersion] = {}
         self.lease: Lease | None = None
 
-    def held(self, seats: int) -> bool:
-        """Return whether this box holds one of so many seats now, by its own clock."""
-        if self.lease is None or _number(self.lease.key) >= seats:
+    def held(self, lease_count: int) -> bool:
+        """Return whether this box holds one of ``lease_count`` leases now, by its own clock."""
+        if self.lease is None or _number(self.lease.key) >= lease_count:
             return False
         return self.lease.valid(self._clock())
 
-    def renew(self, seats: int) -> bool:
-        """Renew the seat held, or take a free one.
+    def renew(self, lease_count: int) -> bool:
+        """Renew the lease held, or acquire a free one.
 
         Parameters
         ----------
-        seats : int
-            Seats that there are.
+        lease_count : int
+            Number of leases that exist.
 
         Returns
         -------
         bool
-            Whether a seat is held.  With the table down, the lease held runs
-            on to its end.
+            Whether a lease is held.  While the store is unavailable, a held lease stays
+            valid until it expires.
         """
         try:
-            if self._renew_own(seats):
+            if self._renew_held(lease_count):
                 return True
             rows = {row.key: row for row in self._rows()}
-            for key in self._wanted(seats):
-                if self._free(key, rows.get(key)) and self._take(key, rows.get(key)):
+            for key in self._keys_in_order(lease_count):
+                if self._is_free(key, rows.get(key)) and self._acquire(key, rows.get(key)):
                     return True
         except PlatformUnavailableError as error:
             event(_log, "seat-not-renewed", level=logging.WARNING, detail=str(error))
-        return self.held(seats)
+        return self.held(lease_count)
 
-    def _renew_own(self, seats: int) -> bool:
-        """Renew the seat held, reading its row only; return whether that went well."""
-        if self.lease is None or _number(self.lease.key) >= seats:
+    def _renew_held(self, lease_count: int) -> bool:
+        """Renew the lease held, reading only its row; return False if that was not possible."""
+        if self.lease is None or _number(self.lease.key) >= lease_count:
             return False
         row = self._platform.read(self.lease.key)
-        if row is None or not self._own(row):
+        if row is None or not self._is_own(row):
             return False
-        return self._take(self.lease.key, row)
+        return self._acquire(self.lease.key, row)
 
-    def _own(self, row: Row) -> bool:
-        value = _seat_value(row)
+    def _is_own(self, row: Row) -> bool:
+        value = _lease_value(row)
         if value is None:
             return False
         return (value.box, value.incarnation) == (self._box, self._incarnation)
@@ -144,29 +144,29 @@
         for row in rows:
             seen = self._seen.get(row.key)
             if seen is None or seen.version < row.version:
-                self._seen[row.key] = _Seen(row.version, now)
+                self._seen[row.key] = _SeenVersion(row.version, now)
         return rows
 
-    def _wanted(self, seats: int) -> list[str]:
-        """Return seats in the order in which to try them."""
-        start = rank_hash(self._box, "seat") % seats
-        return [_key((start + step) % seats) for step in range(seats)]
+    def _keys_in_order(self, lease_count: int) -> list[str]:
+        """Return the keys of all leases, in the order in which this box tries them."""
+        start = rank_hash(self._box, "seat") % lease_count
+        return [_key((start + offset) % lease_count) for offset in range(lease_count)]
 
-    def _free(self, key: str, row: Row | None) -> bool:
-        """Return whether a seat is empty, ours, or lapsed for certain."""
-        if row is None or self._own(row):
+    def _is_free(self, key: str, row: Row | None) -> bool:
+        """Return whether a lease is vacant, held by this process, or certainly expired."""
+        if row is None or self._is_own(row):
             return True
-        value = _seat_value(row)
+        value = _lease_value(row)
         if value is None:
             return False
-        # The holder's lease began before the row was written, so before this box saw it.
-        unchanged = self._clock() - self._seen[key].at
-        return unchanged > value.lease_s * (1.0 + _DRIFT)
+        # The holder's lease began before the row was written, so before this box read it.
+        unchanged_for = self._clock() - self._seen[key].since
+        return unchanged_for > value.lease_s * (1.0 + _CLOCK_DRIFT)
 
-    def _take(self, key: str, row: Row | None) -> bool:
+    def _acquire(self, key: str, row: Row | None) -> bool:
         version = row.version if row is not None else 0
         value = ProbeLeaseValue(self._box, self._incarnation, self._lease_s)
-        asked = self._clock()
+        requested_at = self._clock()
         result = self._platform.transact(
             Transaction((Check(key, version),), (Put(key, _codec.to_json(value).decode()),))
         )
@@ -174,12 +174,12 @@
             return False
         if self.lease is None or self.lease.key != key:
             event(_log, "seat-taken", seat=key, fence=version + 1)
-        self.lease = Lease(key, version + 1, asked + self._lease_s)
+        self.lease = Lease(key, version + 1, requested_at + self._lease_s)
         return True
 
 
-def _seat_value(row: Row) -> ProbeLeaseValue | None:
-    """Return what a seat's row says, or None if it can't be read."""
+def _lease_value(row: Row) -> ProbeLeaseValue | None:
+    """Return the value of a lease's row, or None if it can't be parsed."""
     try:
         return _codec.from_json(ProbeLeaseValue, row.value.encode())
     except ProtocolError as error:
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -117,7 +117,7 @@
     self.leaving = False
 
 
-def _held_for_ever(self, seats):
+def _held_for_ever(self, lease_count):
     return self.lease is not None
 
 
@@ -457,7 +457,9 @@
     Mutant("drain without waiting for callers", Drain, "start", _drain_at_once),
     Mutant("ignore that a target leaves", TargetRecord, "take_state", _never_leaving),
     Mutant("skip the expiry of a lease", probe_leases.ProbeLeaseHolder, "held", _held_for_ever),
-    Mutant("take a lease before it expired", probe_leases.ProbeLeaseHolder, "_free", _always_free),
+    Mutant(
+        "take a lease before it expired", probe_leases.ProbeLeaseHolder, "_is_free", _always_free
+    ),
     Mutant("ignore the share of the budget", probes, "probes_per_second", _whole_budget),
     Mutant("forget once-keys", OnceLedger, "claim", _claim_always),
     Mutant(
