--- a/dunlinnotch/coordination/choosing/least_load.py
+++ b/dunlinnotch/coordination/choosing/least_load.py
@@ -1,8 +1,8 @@
-"""Choose the target that takes a call.
+"""Choose the least loaded target for a call.
 
-The rule: draw a place by its share, then take the target with the fewest
-calls thought to be in flight for its capacity, ties by chance.  See
-``docs/design/choice.md`` for the ways weighed and the measurement.
+A place is drawn at random by its share.  Within it, the target with the lowest estimated
+number of calls in flight per slot is chosen; ties are broken at random.  See
+``docs/design/choice.md``.
 """
 
 from __future__ import annotations
@@ -20,44 +20,47 @@
     from dunlinnotch.state.targets import TargetRecord
     from dunlinnotch.types import Address, Seconds
 
-#: Fade of a report before any answer time is known, in seconds.
-_FIRST_FADE_S = 0.02
-#: Least time that a call is expected to take, in seconds.
-_LEAST_TIME_S = 0.0005
+#: Mean latency assumed before the first answer, in seconds.
+_INITIAL_LATENCY_S = 0.02
+#: Minimum expected latency of a call, in seconds.
+_MIN_EXPECTED_LATENCY_S = 0.0005
 #: Weight of a new sample in the running means.
 _GAIN = 0.05
-#: Fades without any report after which nothing is known of the others' calls.
-_SILENT_FADES = 20.0
+#: Time without any load report, in mean latencies, after which the other boxes are assumed
+#: to send no calls.
+_STALE_AFTER_LATENCIES = 20.0
 
 
 class Candidate(NamedTuple):
-    """One target that was looked at; the least one is chosen.
+    """One target considered for a call; the lowest one in tuple order is chosen.
 
     Parameters
     ----------
     score : float
-        1.0 means full.
-    tie : float
-        Drawn by chance, so that equal scores fall to any of their targets.
+        Estimated calls in flight for each slot; 1.0 means saturated.
+    tie_breaker : float
+        Random, so that equal scores are spread over their targets.
     target : TargetRecord
     """
 
     score: float
-    tie: float
+    tie_breaker: float
     target: TargetRecord
 
 
 @dataclass(frozen=True, slots=True)
 class Choice:
-    """The target chosen and why.
+    """The chosen target and the reason.
 
     Parameters
     ----------
     target : TargetRecord
     score : float
-        Calls thought to be in flight for each trusted slot.
+        Estimated calls in flight for each slot of the target's capacity.
     reason : str
-        ``least``, ``spill``, ``trial`` or ``last-resort``.
+        ``least``: lowest score in the drawn place.  ``spill``: that place is saturated, and
+        the lowest score is in another.  ``trial``: probes an ejected target with a call.
+        ``last-resort``: no target is left but ejected ones.
     candidates : tuple of Candidate
     """
 
@@ -68,24 +71,24 @@
 
 
 class Chooser:
-    """Choose among the targets of one service that this box works with.
+    """Choose among the targets of one service in this box's subset.
 
     Parameters
     ----------
     rng : random.Random
         Breaks ties and draws places.
     eject_after : int, default 3
-        Errors in a row after which a target is set aside.
+        Consecutive errors after which a target is ejected.
     eject_share : float, default 0.4
-        Most of the targets that may be set aside at once.
+        Maximum share of the targets that may be ejected at once.
     trial_s : float, default 0.5
-        Seconds between trial calls to a target set aside.
+        Seconds between trial calls to an ejected target.
     warm_up_s : float, default 5.0
-        Ramp of a cold target, in seconds.
+        Length of the slow start of a target, in seconds.
 
     Notes
     -----
-    Not thread-safe; the caller holds a lock.
+    Not thread-safe; callers must hold a lock.
     """
 
     def __init__(
@@ -105,19 +108,19 @@
         self._targets: dict[str, list[TargetRecord]] = {}
         self._shares: dict[str, float] = {}
         self._mean_others = 0.0
-        self._last_report = -math.inf
-        self._answer_time = _FIRST_FADE_S
-        self._answer_times: dict[str, Seconds] = {}
+        self._last_report_at = -math.inf
+        self._mean_latency = _INITIAL_LATENCY_S
+        self._latency_by_kind: dict[str, Seconds] = {}
 
     def set_targets(self, targets: Iterable[TargetRecord], shares: dict[str, float]) -> None:
-        """Replace the targets and the share of calls that each place takes.
+        """Replace the targets and the share of calls for each place.
 
         Parameters
         ----------
         targets : iterable of TargetRecord
         shares : dict of str to float
-            Chance of each place; places left out take calls only by spill
-            if they have targets with a share above 0 nowhere.
+            Probability of each place.  Places that are left out, have a share of 0 or have
+            no targets are never drawn and receive no spilled calls.
         """
         self._targets = {}
         for target in targets:
@@ -126,28 +129,30 @@
 
     @property
     def targets(self) -> list[TargetRecord]:
-        """All targets in use, place by place."""
+        """All targets in use, grouped by place."""
         return [target for group in self._targets.values() for target in group]
 
-    def sharing(self) -> Iterator[TargetRecord]:
-        """Yield the targets of places that take a share of the calls."""
+    def targets_with_share(self) -> Iterator[TargetRecord]:
+        """Yield the targets of places with a share of the calls."""
         for place in self._shares:
             yield from self._targets[place]
 
     @property
     def mean_latency(self) -> Seconds:
-        """Running mean of the time that an answer takes, in seconds."""
-        return self._answer_time
+        """Running mean of the latency of calls, in seconds."""
+        return self._mean_latency
 
     def score(self, target: TargetRecord, now: Seconds) -> float:
-        """Return the calls thought to be in flight at ``target`` for each trusted slot."""
-        mean = self._mean_now(now)
-        occupancy = target.occupancy(now, mean_others=mean, fade=self._answer_time)
+        """Return the estimated calls in flight for each slot of the target's capacity."""
+        mean = self._current_mean_others(now)
+        occupancy = target.occupancy(now, mean_others=mean, fade=self._mean_latency)
         return occupancy / target.capacity(now)
 
     def in_flight(self, target: TargetRecord, now: Seconds) -> float:
-        """Return the calls of all boxes thought to be in flight at ``target``."""
-        return target.in_flight(now, mean_others=self._mean_now(now), fade=self._answer_time)
+        """Return the estimated calls in flight at a target, from all boxes."""
+        return target.in_flight(
+            now, mean_others=self._current_mean_others(now), fade=self._mean_latency
+        )
 
     def choose(
         self,
@@ -156,7 +161,7 @@
         exclude: Collection[Address] = (),
         trial_allowed: bool = True,
     ) -> Choice | None:
-        """Return the target for one call, or None if no target may take it.
+        """Return the target for one call, or None if no target is usable.
 
         Parameters
         ----------
@@ -164,34 +169,36 @@
         exclude : collection of str, default ()
             Addresses already tried for this call.
         trial_allowed : bool, default True
-            Whether the call may be used to try a target that was set aside.
+            Whether the call may be sent to an ejected target, as a trial.
         """
         if trial_allowed:
             trial = self._due_trial(now, exclude)
             if trial is not None:
                 return Choice(trial, self.score(trial, now), "trial", ())
         home = self._draw_place()
-        near = self._usable(home, now, exclude)
-        best = min(near, default=None)
+        home_candidates = self._candidates(home, now, exclude)
+        best = min(home_candidates, default=None)
         if best is not None and best.score < 1.0:
-            return Choice(best.target, best.score, "least", tuple(near))
+            return Choice(best.target, best.score, "least", tuple(home_candidates))
         others = [place for place in self._shares if place != home]
-        everything = near + [c for place in others for c in self._usable(place, now, exclude)]
-        if not everything:
+        all_candidates = home_candidates + [
+            c for place in others for c in self._candidates(place, now, exclude)
+        ]
+        if not all_candidates:
             return self._last_resort(now, exclude)
-        least = min(everything)
-        why = "least" if least is best else "spill"
-        return Choice(least.target, least.score, why, tuple(everything))
+        lowest = min(all_candidates)
+        reason = "least" if lowest is best else "spill"
+        return Choice(lowest.target, lowest.score, reason, tuple(all_candidates))
 
     def begin(self, target: TargetRecord, now: Seconds, *, kind: str) -> Flight:
-        """Count one call as in flight at ``target``.
+        """Record that one call is sent to a target.
 
         Returns
         -------
         Flight
-            To be given to :meth:`finish`.
+            To be passed to :meth:`finish`.
         """
-        flight = Flight(now, self._answer_times.get(kind, self._answer_time))
+        flight = Flight(now, self._latency_by_kind.get(kind, self._mean_latency))
         target.flights.append(flight)
         target.last_used = now
         if target.aside:
@@ -200,10 +207,10 @@
         return flight
 
     def record_report(self, target: TargetRecord, now: Seconds, in_flight: int) -> None:
-        """Take in a load report that came with an answer or a probe."""
+        """Record a load report that came with an answer or a probe result."""
         others = target.heard(now, in_flight)
         self._mean_others += _GAIN * (others - self._mean_others)
-        self._last_report = now
+        self._last_report_at = now
 
     def finish(
         self,
@@ -215,7 +222,7 @@
         failed: bool,
         counted: bool = True,
     ) -> None:
-        """Count one call as ended.
+        """Record that one call ended.
 
         Parameters
         ----------
@@ -227,7 +234,7 @@
         failed : bool
             Whether the target answered with an error or not at all.
         counted : bool, default True
-            Whether the call says anything of the target's speed or errors.
+            Whether the call counts towards the target's latency and errors.
         """
         target.flights.remove(flight)
         target.trial_running = False
@@ -235,26 +242,28 @@
             return
         if not failed:
             target.succeeded()
-            self._learn_time(kind, now - flight.began)
+            self._record_latency(kind, now - flight.began)
             return
         target.failed(now)
-        if target.errors_in_row >= self.eject_after and self._may_set_aside():
+        if target.errors_in_row >= self.eject_after and self._may_eject():
             target.aside = True
             target.next_trial = now + self.trial_s
 
-    def _learn_time(self, kind: str, took: Seconds) -> None:
-        self._answer_time += _GAIN * (took - self._answer_time)
-        known = self._answer_times.get(kind, self._answer_time)
-        self._answer_times[kind] = max(_LEAST_TIME_S, known + _GAIN * (took - known))
+    def _record_latency(self, kind: str, latency: Seconds) -> None:
+        self._mean_latency += _GAIN * (latency - self._mean_latency)
+        expected = self._latency_by_kind.get(kind, self._mean_latency)
+        self._latency_by_kind[kind] = max(
+            _MIN_EXPECTED_LATENCY_S, expected + _GAIN * (latency - expected)
+        )
 
-    def _mean_now(self, now: Seconds) -> float:
-        silent = now - self._last_report
-        return 0.0 if silent > _SILENT_FADES * self._answer_time else self._mean_others
+    def _current_mean_others(self, now: Seconds) -> float:
+        silence = now - self._last_report_at
+        return 0.0 if silence > _STALE_AFTER_LATENCIES * self._mean_latency else self._mean_others
 
-    def _may_set_aside(self) -> bool:
+    def _may_eject(self) -> bool:
         targets = self.targets
-        aside = sum(target.aside for target in targets)
-        return aside + 1 <= self.eject_share * len(targets)
+        ejected_count = sum(target.aside for target in targets)
+        return ejected_count + 1 <= self.eject_share * len(targets)
 
     def _draw_place(self) -> str:
         if len(self._shares) <= 1:
@@ -267,14 +276,16 @@
         return place
 
     def _due_trial(self, now: Seconds, exclude: Collection[Address]) -> TargetRecord | None:
-        for target in self.sharing():
+        for target in self.targets_with_share():
             due = target.aside and not target.trial_running and now >= target.next_trial
             if due and not target.wants_nothing(now) and target.address not in exclude:
                 return target
         return None
 
-    def _usable(self, place: str, now: Seconds, exclude: Collection[Address]) -> list[Candidate]:
-        mean, fade, draw = self._mean_now(now), self._answer_time, self._rng.random
+    def _candidates(
+        self, place: str, now: Seconds, exclude: Collection[Address]
+    ) -> list[Candidate]:
+        mean, fade, draw = self._current_mean_others(now), self._mean_latency, self._rng.random
         return [
             Candidate(
                 target.occupancy(now, mean_others=mean, fade=fade) / target.capacity(now),
@@ -286,22 +297,26 @@
         ]
 
     def _last_resort(self, now: Seconds, exclude: Collection[Address]) -> Choice | None:
-        """Use a target set aside rather than none at all."""
-        aside = [t for t in self.sharing() if not (t.wants_nothing(now) or t.address in exclude)]
-        if not aside:
+        """Choose an ejected target rather than none."""
+        ejected = [
+            t
+            for t in self.targets_with_share()
+            if not (t.wants_nothing(now) or t.address in exclude)
+        ]
+        if not ejected:
             return None
-        target = min(aside, key=lambda t: (t.own, self._rng.random()))
+        target = min(ejected, key=lambda t: (t.own, self._rng.random()))
         return Choice(target, self.score(target, now), "last-resort", ())
 
 
 def place_shares(
     home: str, *, weights: dict[str, float], demand: dict[str, float]
 ) -> dict[str, float]:
-    """Return the chance with which a box at ``home`` sends to each place.
+    """Return the probability with which a box at ``home`` sends a call to each place.
 
-    Each place gets its weight's share of all calls.  A box fills its own
-    place first, and sends what its place can't take to the places whose own
-    boxes don't fill them.
+    Each place receives its weight's share of all calls.  A box sends calls to its own place
+    first.  Calls beyond that place's share go to the places whose own boxes send less than
+    their share.
 
     Parameters
     ----------
@@ -310,7 +325,7 @@
     weights : dict of str to float
         Weight of each place that has targets and is running.
     demand : dict of str to float
-        Calls that arrive at the boxes of each place, in any unit.
+        Calls arriving at the boxes of each place, in any unit.
 
     Returns
     -------
@@ -326,15 +341,17 @@
     if total_weight <= 0:
         return {}
     total_demand = sum(demand.values()) or 1.0
-    want = {place: weight / total_weight for place, weight in weights.items()}
-    have = {place: demand.get(place, 0.0) / total_demand for place in {*weights, *demand}}
-    if have.get(home, 0.0) <= 0.0:
-        return want
-    kept = min(have[home], want.get(home, 0.0)) / have[home]
-    lacking = {p: w - min(w, have.get(p, 0.0)) for p, w in want.items() if p != home}
-    total_lacking = sum(lacking.values())
-    if kept >= 1.0 or total_lacking <= 0.0:
-        return {home: 1.0} if kept > 0 else want
-    shares = {home: kept} if kept > 0 else {}
-    shares.update({p: (1.0 - kept) * v / total_lacking for p, v in lacking.items() if v > 0})
+    weight_shares = {place: weight / total_weight for place, weight in weights.items()}
+    demand_shares = {place: demand.get(place, 0.0) / total_demand for place in {*weights, *demand}}
+    if demand_shares.get(home, 0.0) <= 0.0:
+        return weight_shares
+    kept_share = min(demand_shares[home], weight_shares.get(home, 0.0)) / demand_shares[home]
+    deficits = {
+        p: w - min(w, demand_shares.get(p, 0.0)) for p, w in weight_shares.items() if p != home
+    }
+    total_deficit = sum(deficits.values())
+    if kept_share >= 1.0 or total_deficit <= 0.0:
+        return {home: 1.0} if kept_share > 0 else weight_shares
+    shares = {home: kept_share} if kept_share > 0 else {}
+    shares.update({p: (1.0 - kept_share) * v / total_deficit for p, v in deficits.items() if v > 0})
     return shares
--- a/dunlinnotch/coordination/choosing/pool.py
+++ b/dunlinnotch/coordination/choosing/pool.py
@@ -207,7 +207,7 @@
     def has_usable_target(self) -> bool:
         """Return whether any target may take new work."""
         with self._lock:
-            return any(not target.leaving for target in self._chooser.sharing())
+            return any(not target.leaving for target in self._chooser.targets_with_share())
 
     def pump(self) -> bool:
         """Let waiting calls go whose targets are free; return whether any still wait."""
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -16,15 +16,15 @@
     return chooser, targets
 
 
-def call(chooser, now, *, failed=False, **options):
-    """Choose, send and end one call; return its target."""
+def run_call(chooser, now, *, failed=False, **options):
+    """Choose a target, run one call there and return the target."""
     target = chooser.choose(now, **options).target
     flight = chooser.begin(target, now, kind="a")
     chooser.finish(target, flight, now + 0.001, kind="a", failed=failed)
     return target
 
 
-def test_least_loaded_target_is_chosen_and_ties_fall_by_chance():
+def test_least_loaded_target_is_chosen_and_ties_are_random():
     chooser, targets = make()
     for target in targets[1:]:
         chooser.begin(target, 0.0, kind="a")
@@ -33,50 +33,50 @@
     assert len({chooser.choose(0.0).target.address for _ in range(50)}) == 4
 
 
-def test_report_counts_at_once_and_fades():
+def test_load_report_counts_at_once_and_decays():
     chooser, targets = make(2)
     chooser.record_report(targets[0], 0.0, 5)
     assert chooser.choose(0.0).target is targets[1]
     assert abs(chooser.score(targets[0], 10.0) - chooser.score(targets[1], 10.0)) < 0.01
 
 
-def test_target_that_fails_fast_does_not_look_fast():
+def test_target_that_fails_fast_is_ejected():
     chooser, targets = make()
-    bad = targets[0].address
-    sent = 0
+    failing = targets[0].address
+    failures = 0
     now = 0.0
     for _ in range(2000):
         now += 0.005
         choice = chooser.choose(now)
-        failed = choice.target.address == bad
+        failed = choice.target.address == failing
         flight = chooser.begin(choice.target, now, kind="a")
         chooser.finish(choice.target, flight, now, kind="a", failed=failed)
-        sent += failed
-    assert sent <= 25
+        failures += failed
+    assert failures <= 25
     assert targets[0].aside
 
 
-def test_common_fault_does_not_empty_the_pool():
+def test_ejected_share_is_limited_when_all_targets_fail():
     chooser, targets = make(10)
     for step in range(500):
-        call(chooser, step * 0.01, failed=True)
+        run_call(chooser, step * 0.01, failed=True)
     assert sum(target.aside for target in targets) <= 4
 
 
-def test_target_set_aside_is_tried_with_repeatable_calls_only_and_comes_back():
+def test_ejected_target_gets_only_allowed_trials_and_returns_after_a_success():
     chooser, targets = make(3)
     for _ in range(3):
         flight = chooser.begin(targets[0], 0.0, kind="a")
         chooser.finish(targets[0], flight, 0.0, kind="a", failed=True)
     assert targets[0].aside
     for _ in range(20):
-        assert call(chooser, 5.0, trial_allowed=False) is not targets[0]
+        assert run_call(chooser, 5.0, trial_allowed=False) is not targets[0]
     assert chooser.choose(5.0).reason == "trial"
-    assert call(chooser, 5.0) is targets[0]
+    assert run_call(chooser, 5.0) is targets[0]
     assert not targets[0].aside
 
 
-def test_lying_target_is_doubted():
+def test_target_that_underreports_its_load_is_doubted():
     chooser, targets = make(1)
     flights = [chooser.begin(targets[0], 0.0, kind="a") for _ in range(4)]
     for _ in range(20):
@@ -85,7 +85,7 @@
     assert chooser.score(targets[0], 0.0) * 6 >= len(flights) * 6
 
 
-def test_overdue_call_is_charged_to_its_target():
+def test_overdue_call_raises_the_score_of_its_target():
     chooser, targets = make(2)
     chooser.begin(targets[0], 0.0, kind="a")
     chooser.begin(targets[1], 0.9, kind="a")
@@ -93,7 +93,7 @@
     assert targets[0].overdue(1.0) == 3.0
 
 
-def test_cold_target_gets_less_until_it_is_warm():
+def test_capacity_grows_during_slow_start():
     chooser, targets = make(2)
     targets[0].begin_warm_up(0.0, 10.0)
     assert targets[0].capacity(0.0) == pytest.approx(1.2)
@@ -101,7 +101,7 @@
     assert targets[0].capacity(10.0) == 6.0
 
 
-def test_leaving_is_final_for_one_start_of_a_target():
+def test_leaving_is_final_until_the_target_restarts():
     target = TargetRecord("10.0.0.1:80", "hall-a", 6)
     target.take_state("1", leaving=True)
     target.take_state("1", leaving=False)
@@ -110,7 +110,7 @@
     assert not target.leaving
 
 
-def test_full_place_spills_to_another():
+def test_saturated_place_spills_to_another():
     chooser, targets = make(4, places=("hall-a", "hall-b"), shares={"hall-a": 1.0, "hall-b": 1e-9})
     for target in targets:
         if target.place == "hall-a":
@@ -131,7 +131,7 @@
         ("a", {"a": 0, "b": 0}, {"a": 1, "b": 1}, {}),
     ],
 )
-def test_places_get_their_share_and_near_calls_stay_near(home, weights, demand, shares):
+def test_places_get_their_share_and_local_calls_stay_local(home, weights, demand, shares):
     assert place_shares(home, weights=weights, demand=demand) == pytest.approx(shares)
 
 
