--- a/dunlinnotch/coordination/choosing/least_load.py
+++ b/dunlinnotch/coordination/choosing/least_load.py
@@ -335,7 +335,7 @@
     Examples
     --------
     >>> place_shares("a", weights={"a": 1.0, "b": 1.0}, demand={"a": 3.0, "b": 1.0})
-    {'a': 0.6666666666666666, 'b': 0.3333333333333333}
+    {'a': 0.6666666666666666, 'b': 0.33333333333333337}
     """
     total_weight = sum(weights.values())
     if total_weight <= 0:
