--- a/dunlinnotch/coordination/choosing/limits.py
+++ b/dunlinnotch/coordination/choosing/limits.py
@@ -1,4 +1,4 @@
-"""Queue calls of one service by rank and share while its targets are full."""
+"""Queue calls of one service by rank and share while its targets are saturated."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
     from dunlinnotch.state.targets import Flight
     from dunlinnotch.types import Seconds
 
-#: Of so many calls let go while several ranks wait, one is of a later rank.
-_LATER_RANK_TURN = 8
-#: Weight of a new sample in the mean time between two calls let go.
+#: While several ranks wait, one of this many grants goes to a later rank.
+_GRANTS_PER_LATER_RANK = 8
+#: Weight of a new sample in the mean interval between two grants.
 _GAIN = 0.1
 
 
 class TicketState(Enum):
-    """Where a call stands in the queue."""
+    """State of a call in the queue."""
 
     WAITING = auto()
     GRANTED = auto()
@@ -30,13 +30,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """Leave to send one call to one target.
+    """Permission to send one call to one target.
 
     Parameters
     ----------
     choice : Choice
     flight : Flight
-        The call as it is counted at the target.
+        The call, as recorded at the target.
     kind : str
     """
 
@@ -47,16 +47,19 @@
 
 @dataclass(slots=True, eq=False)
 class Ticket:
-    """One call's place in the queue.
+    """One call in the queue.
 
     Parameters
     ----------
     kind : str
     rank : int
+        0 is the most urgent.
     share : float
+        Weight of the kind among the kinds of its rank.
     queue_deadline : float
-        Monotonic seconds at which the call is refused instead.
+        Monotonic seconds until which the call may wait.
     idempotent : bool
+        Whether the call may be sent as a trial to an ejected target.
     on_granted : callable
         Called once, when the call is granted.
     """
@@ -73,92 +76,101 @@
 
 @dataclass(slots=True)
 class _KindQueue:
-    """Waiting calls of one kind; ``turn`` orders kinds of one rank by share."""
+    """Waiting calls of one kind; ``virtual_time`` orders the kinds of a rank by share."""
 
     rank: int
-    turn: float = 0.0
+    virtual_time: float = 0.0
     tickets: deque[Ticket] = field(default_factory=deque)
 
 
 class WaitQueue:
-    """Order waiting calls: lower rank strictly first, then by share, then by age.
+    """Order waiting calls by rank, within a rank by the share of their kinds, then by age.
 
     Notes
     -----
-    One turn in eight goes to a later rank while one waits, so that none
-    starves.  Not thread-safe; the caller holds a lock.
+    Lower ranks go first, but one grant in eight goes to a later rank, so that no rank
+    starves.  Kinds of one rank are served by weighted fair queueing.  Not thread-safe;
+    callers must hold a lock.
     """
 
     def __init__(self) -> None:
         self._kinds: dict[str, _KindQueue] = {}
         self._waiting = 0
         self._granted = 0
-        self._gap: Seconds | None = None
-        self._last_grant: Seconds | None = None
+        self._mean_grant_interval: Seconds | None = None
+        self._last_grant_at: Seconds | None = None
 
     def __len__(self) -> int:
         return self._waiting
 
     def push(self, ticket: Ticket) -> None:
-        """Add a call at the end of its kind's queue."""
+        """Append a call to the queue of its kind."""
         queue = self._kinds.get(ticket.kind)
         if queue is None:
             queue = self._kinds[ticket.kind] = _KindQueue(ticket.rank)
         queue.rank = ticket.rank
         if not queue.tickets:
-            queue.turn = max(queue.turn, self._least_turn(ticket.rank))
+            queue.virtual_time = max(queue.virtual_time, self._min_virtual_time(ticket.rank))
         queue.tickets.append(ticket)
         self._waiting += 1
 
-    def leave(self, ticket: Ticket) -> None:
-        """Take a call that gave up out of the queue."""
+    def cancel(self, ticket: Ticket) -> None:
+        """Remove a call from the queue, if it still waits."""
         if ticket.state is TicketState.WAITING:
             self._kinds[ticket.kind].tickets.remove(ticket)
             ticket.state = TicketState.CANCELLED
             self._waiting -= 1
 
     def peek(self) -> Ticket | None:
-        """Return the call that goes next."""
+        """Return the next call to grant, or None if no call waits."""
         queue = self._next_queue()
         return queue.tickets[0] if queue is not None else None
 
     def grant(self, ticket: Ticket, grant: Grant, now: Seconds) -> None:
-        """Let a call that was peeked at go to the target chosen."""
+        """Grant a call returned by :meth:`peek`."""
         queue = self._kinds[ticket.kind]
         queue.tickets.remove(ticket)
-        queue.turn += 1.0 / ticket.share
+        queue.virtual_time += 1.0 / ticket.share
         ticket.state = TicketState.GRANTED
         ticket.grant = grant
         self._waiting -= 1
         self._granted += 1
-        self._note_grant(now)
+        self._record_grant_interval(now)
         ticket.on_granted()
 
     def expected_wait(self, rank: int) -> Seconds:
-        """Return the time that a new call of ``rank`` will wait, from the pace of late."""
-        ahead = sum(len(q.tickets) for q in self._kinds.values() if q.rank <= rank)
-        return ahead * (self._gap or 0.0)
-
-    def idle(self) -> None:
-        """Forget the pace once nobody waits."""
-        self._last_grant = None
-
-    def _note_grant(self, now: Seconds) -> None:
-        if self._last_grant is not None:
-            gap = now - self._last_grant
-            self._gap = gap if self._gap is None else self._gap + _GAIN * (gap - self._gap)
-        self._last_grant = now
-
-    def _least_turn(self, rank: int) -> float:
-        turns = [q.turn for q in self._kinds.values() if q.rank == rank and q.tickets]
-        return min(turns, default=0.0)
+        """Return the expected wait of a new call of a rank, in seconds, by the recent pace."""
+        queued_ahead = sum(len(q.tickets) for q in self._kinds.values() if q.rank <= rank)
+        return queued_ahead * (self._mean_grant_interval or 0.0)
+
+    def reset_pace(self) -> None:
+        """Start measuring the pace anew, because no call waits."""
+        self._last_grant_at = None
+
+    def _record_grant_interval(self, now: Seconds) -> None:
+        if self._last_grant_at is not None:
+            interval = now - self._last_grant_at
+            self._mean_grant_interval = (
+                interval
+                if self._mean_grant_interval is None
+                else self._mean_grant_interval + _GAIN * (interval - self._mean_grant_interval)
+            )
+        self._last_grant_at = now
+
+    def _min_virtual_time(self, rank: int) -> float:
+        virtual_times = [
+            q.virtual_time for q in self._kinds.values() if q.rank == rank and q.tickets
+        ]
+        return min(virtual_times, default=0.0)
 
     def _next_queue(self) -> _KindQueue | None:
-        waiting = [queue for queue in self._kinds.values() if queue.tickets]
-        if not waiting:
+        non_empty = [queue for queue in self._kinds.values() if queue.tickets]
+        if not non_empty:
             return None
-        first = min(queue.rank for queue in waiting)
-        later = [queue for queue in waiting if queue.rank > first]
-        if later and self._granted % _LATER_RANK_TURN == _LATER_RANK_TURN - 1:
-            return min(later, key=lambda queue: queue.turn)
-        return min((q for q in waiting if q.rank == first), key=lambda queue: queue.turn)
+        first_rank = min(queue.rank for queue in non_empty)
+        later_ranks = [queue for queue in non_empty if queue.rank > first_rank]
+        if later_ranks and self._granted % _GRANTS_PER_LATER_RANK == _GRANTS_PER_LATER_RANK - 1:
+            return min(later_ranks, key=lambda queue: queue.virtual_time)
+        return min(
+            (q for q in non_empty if q.rank == first_rank), key=lambda queue: queue.virtual_time
+        )
--- a/dunlinnotch/coordination/choosing/pool.py
+++ b/dunlinnotch/coordination/choosing/pool.py
@@ -1,4 +1,4 @@
-"""The targets, queue and retry budget of one service on one box."""
+"""Targets, wait queue and retry budget of one service on one box."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
     from dunlinnotch.state.targets import TargetRecord
     from dunlinnotch.types import Address, Clock, Seconds
 
-#: Share of an even split of all slots that a box may always use.
-_FLOOR_SHARE = 0.75
+#: Share of this box's even part of all slots that it may use whatever the other boxes send.
+_MIN_SHARE = 0.75
 
 
 class ServicePool:
-    """Admit calls of one service, choose their targets and count them.
+    """Admit calls of one service, choose their targets and track them in flight.
 
     Parameters
     ----------
@@ -33,13 +33,13 @@
         Monotonic seconds.
     rng : random.Random
     on_wait : callable, optional
-        Called when a call begins to wait; :meth:`pump` should then be called
-        every few milliseconds until it returns False.
+        Called when a call starts to wait.  :meth:`pump` must then be called every few
+        milliseconds until it returns False.
 
     Notes
     -----
-    Thread-safe.  A call waits here, not at a target, once all targets that
-    this box works with are thought to be full.
+    Thread-safe.  While all targets of this box's subset are estimated to be saturated,
+    calls wait here rather than at a target.
     """
 
     def __init__(
@@ -59,8 +59,8 @@
         self._queue = WaitQueue()
         self._retries = RetryBudget()
         self._target_queue = 1.0
-        self._floor = 1
-        self._own = 0
+        self._min_in_flight = 1
+        self._in_flight = 0
 
     def configure(
         self,
@@ -69,95 +69,94 @@
         shares: dict[str, float],
         settings: Settings,
     ) -> None:
-        """Put a new version of the settings or a new list of boxes in force.
+        """Apply a new version of the settings or a new list of boxes.
 
         Parameters
         ----------
         targets : iterable of TargetRecord
-            Records with address, place, slots and sharers; what is known of
-            a target already is kept.
+            Records with address, place, slots and sharers.  Targets that are already
+            known keep the rest of their records.
         shares : dict of str to float
-            Chance of each place.
+            Probability of each place.
         settings : Settings
-            Of the service.
+            Settings of the service.
         """
         with self._lock:
-            kept = {target.address: self._merge(target) for target in targets}
-            self._records.update(kept)
-            self._forget_gone(kept)
-            self._chooser.set_targets(kept.values(), shares)
+            active = {target.address: self._merge(target) for target in targets}
+            self._records.update(active)
+            self._drop_removed(active)
+            self._chooser.set_targets(active.values(), shares)
             self._chooser.eject_after = settings.eject_after
             self._chooser.eject_share = settings.eject_share
             self._chooser.trial_s = settings.trial_s
             self._chooser.warm_up_s = settings.warm_up_s
             self._retries.share = settings.retry_share
             self._target_queue = settings.target_queue
-            fair = sum(target.slots / target.sharers for target in kept.values())
-            self._floor = max(1, round(fair * _FLOOR_SHARE))
-            self._pump()
+            even_split = sum(target.slots / target.sharers for target in active.values())
+            self._min_in_flight = max(1, round(even_split * _MIN_SHARE))
+            self._grant_waiting()
 
     def enter(self, ticket: Ticket) -> Seconds | None:
-        """Admit a call, let it wait, or refuse it at once.
+        """Grant a call, queue it, or refuse it at once.
 
         Parameters
         ----------
         ticket : Ticket
-            Granted on return if a target was free.
+            Its state tells on return whether it was granted.
 
         Returns
         -------
         float or None
-            Seconds after which to come back if refused, else ``None``.
+            Retry delay in seconds if the call was refused, else ``None``.
         """
         with self._lock:
             now = self._clock()
             self._retries.record_first_attempt()
             self._queue.push(ticket)
-            self._pump()
+            self._grant_waiting()
             if ticket.state is TicketState.GRANTED:
                 return None
             wait = self._queue.expected_wait(ticket.rank)
             if now + wait > ticket.queue_deadline:
-                self._queue.leave(ticket)
+                self._queue.cancel(ticket)
                 return wait
         if self._on_wait is not None:
             self._on_wait()
         return None
 
     def cancel(self, ticket: Ticket) -> Seconds | None:
-        """Take a waiting call out.
+        """Cancel a waiting call.
 
         Returns
         -------
         float or None
-            Seconds after which to come back, or ``None`` if the call was
-            granted in the meantime.
+            Retry delay in seconds, or ``None`` if the call was granted in the meantime.
         """
         with self._lock:
             if ticket.state is TicketState.GRANTED:
                 return None
-            self._queue.leave(ticket)
+            self._queue.cancel(ticket)
             return self._queue.expected_wait(ticket.rank)
 
     def choose_retry(
         self, *, exclude: Collection[Address], kind: str, idempotent: bool
     ) -> Grant | None:
-        """Choose another target for a call that may be retried.
+        """Choose another target to retry a call.
 
         Returns
         -------
         Grant or None
-            ``None`` if the retry budget is spent or no other target is left.
+            ``None`` if the retry budget is spent or no other target is usable.
         """
         with self._lock:
             now = self._clock()
             choice = self._chooser.choose(now, exclude=exclude, trial_allowed=idempotent)
             if choice is None or not self._retries.try_spend():
                 return None
-            return self._begin(choice, kind, now)
+            return self._record_send(choice, kind, now)
 
     def record_report(self, target: TargetRecord, report: LoadReport) -> None:
-        """Take in what a target said of itself."""
+        """Record the load report and the status of a target."""
         with self._lock:
             now = self._clock()
             if report.in_flight is not None:
@@ -169,31 +168,31 @@
                 target.begin_warm_up(now, self._chooser.warm_up_s)
 
     def record_leaving(self, leaving: Iterable[LeavingTarget]) -> None:
-        """Take in what peers say of targets that leave."""
+        """Record notices of peers about targets that are leaving."""
         with self._lock:
-            for word in leaving:
-                target = self._records.get(word.address)
+            for notice in leaving:
+                target = self._records.get(notice.address)
                 if target is not None:
-                    target.hear_leaving(word.incarnation)
+                    target.hear_leaving(notice.incarnation)
 
     def leaving_targets(self) -> list[LeavingTarget]:
-        """Return the targets in use that have told this box that they leave."""
+        """Return the targets in use that have notified this box that they are leaving."""
         with self._lock:
-            told = [target for target in self._chooser.targets if target.told_leaving]
-            return [LeavingTarget(target.address, target.incarnation) for target in told]
+            leaving = [target for target in self._chooser.targets if target.told_leaving]
+            return [LeavingTarget(target.address, target.incarnation) for target in leaving]
 
     def finish(self, grant: Grant, *, failed: bool, counted: bool = True) -> None:
-        """End an attempt and let waiting calls go.
+        """Record that an attempt ended, and grant waiting calls.
 
         Parameters
         ----------
         grant : Grant
         failed : bool
         counted : bool, default True
-            Whether the attempt says anything of the target's speed or errors.
+            Whether the attempt counts towards the target's latency and errors.
         """
         with self._lock:
-            self._own -= 1
+            self._in_flight -= 1
             self._chooser.finish(
                 grant.choice.target,
                 grant.flight,
@@ -202,17 +201,17 @@
                 failed=failed,
                 counted=counted,
             )
-            self._pump()
+            self._grant_waiting()
 
     def has_usable_target(self) -> bool:
-        """Return whether any target may take new work."""
+        """Return whether any target is not leaving."""
         with self._lock:
             return any(not target.leaving for target in self._chooser.targets_with_share())
 
     def pump(self) -> bool:
-        """Let waiting calls go whose targets are free; return whether any still wait."""
+        """Grant waiting calls while targets are free; return whether any call still waits."""
         with self._lock:
-            self._pump()
+            self._grant_waiting()
             return len(self._queue) > 0
 
     def records(self) -> list[TargetRecord]:
@@ -221,58 +220,58 @@
             return self._chooser.targets
 
     def find(self, address: Address) -> TargetRecord | None:
-        """Return the record of one target, if the box works with it."""
+        """Return the record of a target, or None if it is not used by this box."""
         with self._lock:
             return self._records.get(address)
 
     def scores(self) -> list[tuple[TargetRecord, float]]:
-        """Return each target in use with its score now."""
+        """Return each target in use with its current score."""
         with self._lock:
             now = self._clock()
             return [(target, self._chooser.score(target, now)) for target in self._chooser.targets]
 
     @property
     def waiting(self) -> int:
-        """Calls that wait for a target."""
+        """Number of calls that wait for a target."""
         return len(self._queue)
 
     @property
     def in_flight(self) -> int:
-        """Calls of this box at the service's targets."""
-        return self._own
+        """Number of calls of this box in flight at the service's targets."""
+        return self._in_flight
 
     def _merge(self, target: TargetRecord) -> TargetRecord:
-        known = self._records.get(target.address)
-        if known is None:
+        existing = self._records.get(target.address)
+        if existing is None:
             return target
-        known.place = target.place
-        known.slots = target.slots
-        known.sharers = target.sharers
-        return known
-
-    def _forget_gone(self, kept: dict[Address, TargetRecord]) -> None:
-        gone = [a for a, t in self._records.items() if a not in kept and t.own == 0]
-        for address in gone:
+        existing.place = target.place
+        existing.slots = target.slots
+        existing.sharers = target.sharers
+        return existing
+
+    def _drop_removed(self, active: dict[Address, TargetRecord]) -> None:
+        removed = [a for a, t in self._records.items() if a not in active and t.own == 0]
+        for address in removed:
             del self._records[address]
 
-    def _begin(self, choice: Choice, kind: str, now: Seconds) -> Grant:
-        self._own += 1
+    def _record_send(self, choice: Choice, kind: str, now: Seconds) -> Grant:
+        self._in_flight += 1
         return Grant(choice, self._chooser.begin(choice.target, now, kind=kind), kind)
 
-    def _pump(self) -> None:
+    def _grant_waiting(self) -> None:
         now = self._clock()
         while (ticket := self._queue.peek()) is not None:
             choice = self._chooser.choose(now, trial_allowed=ticket.idempotent)
-            if choice is None or not self._open(choice, now):
+            if choice is None or not self._may_send(choice, now):
                 return
-            self._queue.grant(ticket, self._begin(choice, ticket.kind, now), now)
-        self._queue.idle()
+            self._queue.grant(ticket, self._record_send(choice, ticket.kind, now), now)
+        self._queue.reset_pace()
 
-    def _open(self, choice: Choice, now: Seconds) -> bool:
-        """Return whether the box may send one more call to the target chosen."""
-        if choice.reason in ("trial", "last-resort") or self._own < self._floor:
+    def _may_send(self, choice: Choice, now: Seconds) -> bool:
+        """Return whether this box may send one more call to the chosen target."""
+        if choice.reason in ("trial", "last-resort") or self._in_flight < self._min_in_flight:
             return True
-        # Not the score: charges for overdue calls and errors say which target is
-        # worse than others, not that a slot is taken.
+        # Not the score: it includes penalties for overdue calls and errors, which rank
+        # targets but don't occupy slots.
         in_flight = self._chooser.in_flight(choice.target, now)
         return in_flight < choice.target.capacity(now) + self._target_queue
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -16,42 +16,42 @@
     return Ticket(kind, rank, share, queue_deadline, True, lambda: None)
 
 
-def let_go(queue, count):
-    """Let ``count`` calls go and return their kinds."""
+def grant_calls(queue, count):
+    """Grant ``count`` calls and return their kinds."""
     kinds = []
-    for number in range(count):
-        head = queue.peek()
-        queue.grant(head, None, float(number))
-        kinds.append(head.kind)
+    for time in range(count):
+        call_granted = queue.peek()
+        queue.grant(call_granted, None, float(time))
+        kinds.append(call_granted.kind)
     return kinds
 
 
-def test_first_rank_goes_first_and_later_ranks_get_every_eighth_turn():
+def test_lowest_rank_goes_first_and_later_ranks_get_every_eighth_grant():
     queue = WaitQueue()
     for _ in range(40):
         queue.push(ticket("late", rank=7))
         queue.push(ticket("first", rank=0))
-    kinds = let_go(queue, 16)
+    kinds = grant_calls(queue, 16)
     assert kinds.count("late") == 2
     assert kinds[:7] == ["first"] * 7
 
 
-def test_kinds_of_one_rank_share_by_weight():
+def test_kinds_of_one_rank_are_served_by_weight():
     queue = WaitQueue()
     for _ in range(100):
         queue.push(ticket("heavy", share=3.0))
         queue.push(ticket("light", share=1.0))
-    assert let_go(queue, 80).count("heavy") == 60
+    assert grant_calls(queue, 80).count("heavy") == 60
 
 
-def test_kind_that_was_away_gets_no_turns_for_the_past():
+def test_idle_kind_earns_no_grants_for_the_past():
     queue = WaitQueue()
     for _ in range(100):
         queue.push(ticket("here"))
-    let_go(queue, 50)
+    grant_calls(queue, 50)
     for _ in range(50):
         queue.push(ticket("back"))
-    assert let_go(queue, 20).count("back") in (9, 10, 11)
+    assert grant_calls(queue, 20).count("back") in (9, 10, 11)
 
 
 @pytest.fixture
@@ -70,8 +70,8 @@
     return pool
 
 
-def fill(pool):
-    """Enter calls until one waits; return the granted ones."""
+def enter_until_one_waits(pool):
+    """Enter calls until one waits; return the granted calls and the waiting one."""
     granted = []
     while True:
         call = ticket(queue_deadline=pool._clock() + 0.25)
@@ -81,14 +81,14 @@
         granted.append(call)
 
 
-def test_call_waits_once_targets_are_full_and_goes_when_one_is_free(pool):
-    granted, waiting = fill(pool)
+def test_call_waits_while_targets_are_saturated_and_is_granted_when_one_is_free(pool):
+    granted, waiting = enter_until_one_waits(pool)
     assert len(granted) == 8
     pool.finish(granted[0].grant, failed=False)
     assert waiting.state is TicketState.GRANTED
 
 
-def test_load_of_others_fills_a_target(pool):
+def test_load_of_other_boxes_saturates_a_target(pool):
     first = ticket(queue_deadline=2000.0)
     pool.enter(first)
     for target in pool.records():
@@ -98,37 +98,37 @@
     assert second.state is TicketState.WAITING
 
 
-def test_a_target_that_rests_gets_no_call_and_no_probe(pool, clock):
-    tired, other = pool.records()
-    pool.record_report(tired, LoadReport(in_flight=0, rest=3.0))
-    granted, waiting = fill(pool)
+def test_target_in_backoff_gets_no_call_and_no_probe(pool, clock):
+    backing_off, other = pool.records()
+    pool.record_report(backing_off, LoadReport(in_flight=0, rest=3.0))
+    granted, waiting = enter_until_one_waits(pool)
     assert {call.grant.choice.target.address for call in granted} == {other.address}
     assert pool.choose_retry(exclude=[other.address], kind="a", idempotent=True) is None
-    assert not ProbeBudget().needs_probe(tired, clock())
+    assert not ProbeBudget().needs_probe(backing_off, clock())
     clock.advance(3.1)
-    assert ProbeBudget().needs_probe(tired, clock())
+    assert ProbeBudget().needs_probe(backing_off, clock())
     pool.pump()
-    assert waiting.grant.choice.target is tired
+    assert waiting.grant.choice.target is backing_off
 
 
-def test_a_new_start_of_a_target_does_not_rest(pool, clock):
-    tired, _ = pool.records()
-    pool.record_report(tired, LoadReport(incarnation="1", rest=3.0))
-    assert tired.wants_nothing(clock())
-    pool.record_report(tired, LoadReport(incarnation="2"))
-    assert not tired.wants_nothing(clock())
+def test_restart_of_a_target_ends_its_backoff(pool, clock):
+    backing_off, _ = pool.records()
+    pool.record_report(backing_off, LoadReport(incarnation="1", rest=3.0))
+    assert backing_off.wants_nothing(clock())
+    pool.record_report(backing_off, LoadReport(incarnation="2"))
+    assert not backing_off.wants_nothing(clock())
 
 
-def test_call_that_would_wait_too_long_is_refused_at_once_with_when_to_come_back(pool, clock):
-    granted, _ = fill(pool)
+def test_call_that_would_wait_too_long_is_refused_at_once_with_a_retry_delay(pool, clock):
+    granted, _ = enter_until_one_waits(pool)
     pool.enter(ticket(queue_deadline=clock() + 100))
     for _ in range(3):
         clock.advance(0.2)
         pool.finish(granted.pop().grant, failed=False)
         pool.enter(ticket(queue_deadline=clock() + 100))
     late = ticket(queue_deadline=clock() + 0.05)
-    come_back = pool.enter(late)
-    assert come_back > 0.05
+    retry_delay = pool.enter(late)
+    assert retry_delay > 0.05
     assert late.state is TicketState.CANCELLED
     assert pool.waiting >= 1
 
@@ -142,11 +142,11 @@
     assert sum(budget.try_spend() for _ in range(100)) in (9, 10)
 
 
-def test_pool_retries_only_within_the_budget_and_never_the_same_target(pool):
+def test_pool_retries_within_the_budget_and_never_at_the_same_target(pool):
     first = ticket()
     pool.enter(first)
     tried = [first.grant.choice.target.address]
-    again = pool.choose_retry(exclude=tried, kind="a", idempotent=True)
-    assert again.choice.target.address not in tried
-    tried.append(again.choice.target.address)
+    retry = pool.choose_retry(exclude=tried, kind="a", idempotent=True)
+    assert retry.choice.target.address not in tried
+    tried.append(retry.choice.target.address)
     assert pool.choose_retry(exclude=tried, kind="a", idempotent=True) is None
