--- a/dunlinnotch/coordination/choosing/__init__.py
+++ b/dunlinnotch/coordination/choosing/__init__.py
@@ -1,5 +1,6 @@
-"""Which target takes a request: the least loaded by what is known, or by reports just asked for.
+"""Choice of the target for a request: by estimated load, or by fresh load reports.
 
-Upholds: a target set aside, leaving or replaced gets nothing new; a box keeps to
-its own subset and its share of connections; waiting is bounded by rank and time.
+Guarantees: a target that is ejected, leaving or replaced gets no new requests, except for
+trials and as a last resort where it is ejected; a box keeps to its own subset and its share
+of connections; requests wait for a bounded time.
 """
--- a/dunlinnotch/coordination/choosing/directory.py
+++ b/dunlinnotch/coordination/choosing/directory.py
@@ -1,4 +1,4 @@
-"""The pools of all services on this box, kept in step with settings and boxes."""
+"""Pools of all services on this box, rebuilt when the settings or the boxes change."""
 
 from __future__ import annotations
 
@@ -23,48 +23,48 @@
 
 @dataclass(slots=True)
 class _ServicePlan:
-    """What one service's pool should hold."""
+    """Targets and place weights of one service's pool."""
 
     weights: dict[str, float] = field(default_factory=dict)
     targets: list[TargetRecord] = field(default_factory=list)
 
 
 class _SubsetKey(NamedTuple):
-    """What a subset depends on."""
+    """Inputs that determine a subset."""
 
     boxes: tuple[str, ...]
     targets: tuple[Address, ...]
     size: int
 
 
-class _Shared(NamedTuple):
-    """A target of this box, and how many boxes send to it."""
+class _SharedTarget(NamedTuple):
+    """Target in this box's subset, and the number of boxes that send to it."""
 
     address: Address
     sharers: float
 
 
 class _Subset(NamedTuple):
-    """The targets at one node of the tree that the box works with."""
+    """Subset of the targets at one node of the settings tree that this box uses."""
 
     key: _SubsetKey
-    shared: tuple[_Shared, ...]
+    shared: tuple[_SharedTarget, ...]
 
 
 class PoolDirectory:
-    """Build and find the pools of services.
+    """Build the pools of services and look them up.
 
     Parameters
     ----------
     box, place : str
-        This box.
+        Name and place of this box.
     clock : callable
     rng : random.Random
 
     Attributes
     ----------
     calls_waiting : threading.Event
-        Set when a call begins to wait in any pool.
+        Set when a call starts to wait in any pool.
     """
 
     def __init__(self, *, box: str, place: str, clock: Clock, rng: random.Random) -> None:
@@ -79,11 +79,11 @@
         self.calls_waiting = threading.Event()
 
     def pool(self, service: str) -> ServicePool | None:
-        """Return the pool, or None if the service has no targets anywhere."""
+        """Return the pool of a service, or None if the settings do not name the service."""
         return self._pools.get(service)
 
     def connection_limit(self, target: Address) -> int:
-        """Return the connections that this box may have to a target: its fixed share."""
+        """Return the maximum number of connections of this box to a target."""
         return self._limits.get(target, 1)
 
     def pools(self) -> list[ServicePool]:
@@ -91,13 +91,13 @@
         return list(self._pools.values())
 
     def rebuild(self, tree: SettingsTree, boxes: Sequence[BoxRow]) -> None:
-        """Put a settings tree and the boxes now known in force.
+        """Apply a settings tree and the list of boxes.
 
         Parameters
         ----------
         tree : SettingsTree
         boxes : sequence of BoxRow
-            Boxes that may serve, this one included.
+            Boxes that may serve, including this one.
         """
         with self._lock:
             plans: dict[str, _ServicePlan] = {}
@@ -138,26 +138,26 @@
         if not running or not place_runs or settings.state is not RunState.RUNNING:
             return
         plan.weights[place] = settings.weight
-        group = tuple(sorted(row.name for row in boxes if row.place == self._place))
-        wanted = _SubsetKey(group, tuple(running), settings.subset)
-        for address, sharers in self._subset(f"{place}/{service}", wanted):
+        place_boxes = tuple(sorted(row.name for row in boxes if row.place == self._place))
+        key = _SubsetKey(place_boxes, tuple(running), settings.subset)
+        for address, sharers in self._subset(f"{place}/{service}", key):
             plan.targets.append(TargetRecord(address, place, settings.slots, sharers))
 
-    def _subset(self, path: str, wanted: _SubsetKey) -> tuple[_Shared, ...]:
-        """Return this box's targets at a node, worked out anew only if something changed."""
-        known = self._subsets.get(path)
-        if known is None or known.key != wanted:
-            subsets = assign_subsets(wanted.boxes, wanted.targets, wanted.size)
+    def _subset(self, path: str, key: _SubsetKey) -> tuple[_SharedTarget, ...]:
+        """Return this box's subset at a node; recompute it only if its inputs changed."""
+        cached = self._subsets.get(path)
+        if cached is None or cached.key != key:
+            subsets = assign_subsets(key.boxes, key.targets, key.size)
             shared = tuple(
-                _Shared(address, float(sum(address in subset for subset in subsets.values())))
+                _SharedTarget(address, float(sum(address in subset for subset in subsets.values())))
                 for address in sorted(subsets.get(self._box, ()))
             )
-            known = self._subsets[path] = _Subset(wanted, shared)
-        return known.shared
+            cached = self._subsets[path] = _Subset(key, shared)
+        return cached.shared
 
 
 def _demand(boxes: Sequence[BoxRow]) -> dict[str, float]:
-    """Return the calls in flight at the boxes of each place, one more for each box."""
+    """Return the calls in flight at the boxes of each place, plus one for each box."""
     demand: dict[str, float] = {}
     for row in boxes:
         demand[row.place] = demand.get(row.place, 0.0) + row.in_flight + 1.0
--- a/dunlinnotch/coordination/choosing/subset.py
+++ b/dunlinnotch/coordination/choosing/subset.py
@@ -1,7 +1,7 @@
-"""Which targets a box works with: rendezvous hashing, balanced.
+"""Assign a subset of the targets to each box, by balanced rendezvous hashing.
 
-Every box computes the same assignment from the same names, so nothing has
-to be agreed.  Rendezvous hashing: Thaler and Ravishankar, "Using name-based
+Every box computes the same assignment from the same names, without coordination.
+Rendezvous hashing: Thaler and Ravishankar, "Using name-based
 mappings to increase hit rates", IEEE/ACM Transactions on Networking, 1998.
 """
 
@@ -31,33 +31,34 @@
 def assign_subsets(
     boxes: Collection[str], targets: Collection[Address], size: int
 ) -> dict[str, frozenset[Address]]:
-    """Give each box ``size`` targets so that targets have as many boxes each.
+    """Assign ``size`` targets to each box, with the boxes spread evenly over the targets.
 
     Parameters
     ----------
     boxes : collection of str
     targets : collection of str
     size : int
-        Targets for each box; all of them if there are no more.
+        Number of targets for each box; every box gets all targets if there are no more.
 
     Returns
     -------
     dict of str to frozenset of str
-        No target has more than one box over another's share rounded up.
+        Targets of each box.  No target exceeds its even share of the boxes, rounded up, by
+        more than one.
 
     Notes
     -----
-    Cost is ``len(boxes) * len(targets)`` hashes.
+    Computes ``len(boxes) * len(targets)`` hashes for each of ``size`` rounds at most.
     """
     if size >= len(targets):
         return {box: frozenset(targets) for box in boxes}
-    room = dict.fromkeys(sorted(targets), math.ceil(len(boxes) * size / len(targets)))
+    remaining = dict.fromkeys(sorted(targets), math.ceil(len(boxes) * size / len(targets)))
     chosen: dict[str, set[Address]] = {box: set() for box in sorted(boxes)}
     for _ in range(size):
-        for box, have in chosen.items():
-            free = [t for t, left in room.items() if left > 0 and t not in have]
-            spare = free or [t for t in room if t not in have]
-            best = max(spare, key=lambda target: rank_hash(box, target))
-            have.add(best)
-            room[best] -= 1
-    return {box: frozenset(have) for box, have in chosen.items()}
+        for box, assigned in chosen.items():
+            under_quota = [t for t, left in remaining.items() if left > 0 and t not in assigned]
+            available = under_quota or [t for t in remaining if t not in assigned]
+            best = max(available, key=lambda target: rank_hash(box, target))
+            assigned.add(best)
+            remaining[best] -= 1
+    return {box: frozenset(assigned) for box, assigned in chosen.items()}
