--- a/benchmarks/choice.py
+++ b/benchmarks/choice.py
@@ -154,7 +154,7 @@
         now = self._model.events.now
         record = self._records[box][target]
         if well:
-            self._choosers[box].record_report(record, now, load)
+            self._choosers[box].heard(record, now, load)
         flight = self._flights.pop((box, began))
         self._choosers[box].finish(record, flight, now, kind="call", failed=not well)
 
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -146,7 +146,7 @@
             choice = chooser.choose(1.0)
             if choice is not None:
                 flight = chooser.begin(choice.target, 1.0, kind="a")
-                chooser.record_report(choice.target, 1.0, 2)
+                chooser.heard(choice.target, 1.0, 2)
                 chooser.finish(choice.target, flight, 1.0, kind="a", failed=False)
 
         costs.append(micros(act))
--- a/dunlinnotch/coordination/choosing/least_load.py
+++ b/dunlinnotch/coordination/choosing/least_load.py
@@ -206,7 +206,7 @@
             target.next_trial = now + self.trial_s
         return flight
 
-    def record_report(self, target: TargetRecord, now: Seconds, in_flight: int) -> None:
+    def heard(self, target: TargetRecord, now: Seconds, in_flight: int) -> None:
         """Record a load report that came with an answer or a probe result."""
         others = target.heard(now, in_flight)
         self._mean_others += _GAIN * (others - self._mean_others)
--- a/dunlinnotch/coordination/choosing/pool.py
+++ b/dunlinnotch/coordination/choosing/pool.py
@@ -160,7 +160,7 @@
         with self._lock:
             now = self._clock()
             if report.in_flight is not None:
-                self._chooser.record_report(target, now, report.in_flight)
+                self._chooser.heard(target, now, report.in_flight)
             target.take_state(report.incarnation, leaving=report.leaving)
             if report.rest:
                 target.rest_until = max(target.rest_until, now + report.rest)
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -35,7 +35,7 @@
 
 def test_load_report_counts_at_once_and_decays():
     chooser, targets = make(2)
-    chooser.record_report(targets[0], 0.0, 5)
+    chooser.heard(targets[0], 0.0, 5)
     assert chooser.choose(0.0).target is targets[1]
     assert abs(chooser.score(targets[0], 10.0) - chooser.score(targets[1], 10.0)) < 0.01
 
@@ -80,7 +80,7 @@
     chooser, targets = make(1)
     flights = [chooser.begin(targets[0], 0.0, kind="a") for _ in range(4)]
     for _ in range(20):
-        chooser.record_report(targets[0], 0.0, 0)
+        chooser.heard(targets[0], 0.0, 0)
     assert targets[0].doubt > DOUBT_LIMIT
     assert chooser.score(targets[0], 0.0) * 6 >= len(flights) * 6
 
