--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -318,7 +318,7 @@
 ENTRY, SHARES = "tests/test_entry.py", "tests/test_shares.py"
 CRASHING, CRASH_NEWS = "tests/test_crashing.py", "tests/test_crash_news.py"
 LINKS, SELECTOR = "tests/test_links.py", "tests/test_selector.py"
-REST, LEAVING = "tests/test_rest.py", "tests/test_leaving_words.py"
+BACKOFF, LEAVING = "tests/test_backoff.py", "tests/test_leaving_words.py"
 
 MUTANTS = (
     Mutant("repeat what may run once", Forwarder, "_may_repeat", _repeat_anything, ENTRY),
@@ -348,17 +348,19 @@
         property(_forget_starts),
         "tests/test_instances.py",
     ),
-    Mutant("grant no rest", InstanceList, "rest", _grant_no_rest, REST),
-    Mutant("let all wait though all rest", InstanceList, "rest_left", _rest_is_no_reason, REST),
+    Mutant("grant no rest", InstanceList, "rest", _grant_no_rest, BACKOFF),
+    Mutant(
+        "let all wait though all back off", InstanceList, "rest_left", _rest_is_no_reason, BACKOFF
+    ),
     Mutant(
         "hear no target say it leaves", InstanceList, "leave_for_good", _hear_no_leaving, LEAVING
     ),
     Mutant(
-        "set no target aside that refuses",
+        "eject no target that refuses",
         FreshReportChooser,
         "record_refusal",
         _blame_nobody,
-        REST,
+        BACKOFF,
     ),
     Mutant("try any number of targets", Forwarder, "_may_repeat", _any_number_of_tries, ENTRY),
     Mutant("give targets three seconds more", WorkerDialect, "request_headers", _more_time, ENTRY),
