--- a/tests/test_fresh_reports.py
+++ b/tests/test_fresh_reports.py
@@ -66,11 +66,11 @@
     chooser = FreshReportChooser(place="hall-a", latency_model=LatencyModel(), rng=random.Random(1))
     near, far = target("near"), target("far", place="hall-b")
     slow = target("slow", report=(0, 0, 6, 7.0))
-    ejected = target("aside")
+    ejected = target("ejected")
     for _ in range(3):
         chooser.record_failure(ejected, NOW)
     order = chooser.order([ejected, slow, far, near], NOW, exclude=())
-    assert [i.name for i in order] == ["near", "far", "slow", "aside"]
+    assert [i.name for i in order] == ["near", "far", "slow", "ejected"]
     assert [i.name for i in chooser.order([near, far], NOW, exclude={"near"})] == ["far"]
 
 
--- a/tests/test_selector.py
+++ b/tests/test_selector.py
@@ -20,22 +20,22 @@
 class Targets:
     """Targets that answer probes at once, with a latency ratio each and `running` requests."""
 
-    def __init__(self, slowness, running=0):
-        self.slowness = slowness
+    def __init__(self, latency_ratios, running=0):
+        self.latency_ratios = latency_ratios
         self.running = running
-        self.asked = []
+        self.probed = []
 
     async def ask(self, address, path):
         name = address.partition(":")[0]
-        self.asked.append(name)
-        report = TargetReport(self.running, 0, 3, self.slowness.get(name, 1.0))
+        self.probed.append(name)
+        report = TargetReport(self.running, 0, 3, self.latency_ratios.get(name, 1.0))
         return Asked(name, True, TargetStatus(report))
 
-    def release(self, address, asked):
+    def release(self, address, probe_result):
         pass
 
 
-def select_times(names, *, probes_per_s, times, slowness=None, running=0, **limits):
+def select_times(names, *, probes_per_s, times, latency_ratios=None, running=0, **limits):
     """Select a target `times` times in a row; return the selections and the probed targets."""
 
     async def main():
@@ -43,7 +43,7 @@
         for place, name in names:
             listed = ListedTarget(name, "s", place, f"{name}:1", 3, False, 1, 0.0)
             instances.take(listed, 0.0)
-        targets = Targets(slowness or {}, running)
+        targets = Targets(latency_ratios or {}, running)
         probes = ProbeShare(probes_per_s, clock=lambda: 100.0)
         rng = random.Random(1)
         selector = TargetSelector(
@@ -65,7 +65,7 @@
             )
         return [
             selection and (selection.instance.name, selection.reason) for selection in selections
-        ], targets.asked
+        ], targets.probed
 
     return asyncio.run(main())
 
@@ -75,33 +75,35 @@
 
 
 def test_targets_of_the_same_place_are_probed_first():
-    selections, asked = select_times(NEAR + FAR, probes_per_s=1.2, times=1)
-    assert [name.partition("-")[0] for name in asked] == ["near", "near"]
+    selections, probed = select_times(NEAR + FAR, probes_per_s=1.2, times=1)
+    assert [name.partition("-")[0] for name in probed] == ["near", "near"]
     assert selections[0][1] == "good"
 
 
 def test_other_targets_are_probed_once_the_budget_of_the_first_is_spent():
     """With many boxes, each box may probe a target only every few seconds."""
-    selections, asked = select_times(NEAR + FAR, probes_per_s=1.2, times=4)
-    assert sorted(asked) == sorted(name for _, name in NEAR + FAR)
-    assert [why for _, why in selections] == ["good"] * 4
+    selections, probed = select_times(NEAR + FAR, probes_per_s=1.2, times=4)
+    assert sorted(probed) == sorted(name for _, name in NEAR + FAR)
+    assert [reason for _, reason in selections] == ["good"] * 4
 
 
 def test_no_target_is_probed_beyond_its_budget():
-    selections, asked = select_times(NEAR + FAR, probes_per_s=1.2, times=9)
-    assert len(asked) == len(set(asked)) == 8
-    assert [why for _, why in selections[4:]] == ["unasked"] * 5
+    selections, probed = select_times(NEAR + FAR, probes_per_s=1.2, times=9)
+    assert len(probed) == len(set(probed)) == 8
+    assert [reason for _, reason in selections[4:]] == ["unasked"] * 5
 
 
 def test_slow_targets_are_skipped_for_those_probed_next():
     slow = {name: 7.0 for _, name in NEAR}
-    selections, asked = select_times(NEAR[:2] + FAR, probes_per_s=60.0, times=1, slowness=slow)
-    assert len(asked) == 4
+    selections, probed = select_times(
+        NEAR[:2] + FAR, probes_per_s=60.0, times=1, latency_ratios=slow
+    )
+    assert len(probed) == 4
     assert selections[0][0].startswith("far")
 
 
 @pytest.mark.parametrize(
-    ("running", "slowness", "max_ratio", "taken"),
+    ("running", "latency_ratio", "max_ratio", "selected"),
     [
         (2, 1.0, 3.0, True),
         (2, 1.0, 1.5, False),
@@ -111,42 +113,42 @@
     ],
 )
 def test_target_that_is_not_good_needs_a_free_slot_and_an_end_in_time(
-    running, slowness, max_ratio, taken
+    running, latency_ratio, max_ratio, selected
 ):
     """Requests queued at targets would delay each other until all are late."""
     selections, _ = select_times(
         NEAR[:1],
         probes_per_s=60.0,
         times=1,
-        slowness={"near-0": slowness},
+        latency_ratios={"near-0": latency_ratio},
         running=running,
         max_ratio_late=max_ratio,
     )
-    assert (selections[0] is not None) is taken
+    assert (selections[0] is not None) is selected
 
 
 def test_saturated_service_gets_only_requests_for_good_targets(monkeypatch):
     """Saturated targets work more slowly, so full load would keep them saturated."""
     monkeypatch.setattr(LatencyModel, "exploration_share", lambda self, service, utilisation: 0.0)
     selections, _ = select_times(NEAR, probes_per_s=6000.0, times=40, running=2, max_ratio=9.0)
-    assert [why for _, why in selections[:2]] == ["best"] * 2
+    assert [reason for _, reason in selections[:2]] == ["best"] * 2
     assert selections[-10:] == [None] * 10
 
 
-def test_a_nearly_full_target_is_tried_now_and_then_to_learn_what_that_costs(monkeypatch):
-    """bbd-gateway: what nobody tried was taken to be slow for good."""
+def test_nearly_saturated_targets_are_explored(monkeypatch):
+    """Without exploration, a target assumed to be slow would never be measured."""
     monkeypatch.setattr(LatencyModel, "exploration_share", lambda self, service, utilisation: 0.5)
-    enough = {
+    options = {
         "probes_per_s": 6000.0,
         "times": 20,
         "running": 2,
         "max_ratio": 0.0,
         "max_ratio_late": 0.0,
     }
-    selections, _ = select_times(NEAR, **enough)
-    assert [why for _, why in filter(None, selections)].count("good") > 5
+    selections, _ = select_times(NEAR, **options)
+    assert [reason for _, reason in filter(None, selections)].count("good") > 5
     slow = {name: 7.0 for _, name in NEAR}
-    selections, _ = select_times(NEAR, **enough, slowness=slow)
+    selections, _ = select_times(NEAR, **options, latency_ratios=slow)
     assert not any(selections)
 
 
@@ -158,8 +160,8 @@
         assert (await found).reason == "good"
         # Slow now but good just before: the request is refused rather than late.
         assert await choose_while_slow(instances, targets, choose) is None
-        tries = [await choose_while_slow(instances, targets, choose) for _ in range(60)]
-        assert [selection.reason for selection in filter(None, tries)][-1:] == ["best"]
+        later = [await choose_while_slow(instances, targets, choose) for _ in range(60)]
+        assert [selection.reason for selection in filter(None, later)][-1:] == ["best"]
 
     run_with_manual_probes([("hall-a", "t-0")], scenario)
 
@@ -172,7 +174,7 @@
     task = choose(wait=0.0)
     await run_ready()
     if targets.waiting:
-        targets.answer("t-0", slowness=7.0)
+        targets.answer("t-0", latency_ratio=7.0)
     return await task
 
 
@@ -186,15 +188,15 @@
 
     async def ask(self, address, path):
         name = address.partition(":")[0]
-        self.asked.append(name)
+        self.probed.append(name)
         self.waiting[name] = asyncio.get_running_loop().create_future()
         return await self.waiting[name]
 
-    def release(self, address, asked):
+    def release(self, address, probe_result):
         self.released.append(address.partition(":")[0])
 
-    def answer(self, name, *, running=0, slowness=1.0):
-        report = TargetReport(running, 0, 3, slowness)
+    def answer(self, name, *, running=0, latency_ratio=1.0):
+        report = TargetReport(running, 0, 3, latency_ratio)
         self.waiting.pop(name).set_result(Asked(name, True, TargetStatus(report)))
 
 
@@ -241,10 +243,10 @@
     async def scenario(selector, instances, targets, choose):
         waiting = [choose()]
         await run_ready()
-        assert len(targets.asked) == 2
+        assert len(targets.probed) == 2
         waiting += [choose() for _ in range(9)]
         await run_ready()
-        assert len(targets.asked) == len(set(targets.asked)) == 8
+        assert len(targets.probed) == len(set(targets.probed)) == 8
         for task in waiting:
             task.cancel()
 
@@ -316,11 +318,11 @@
     async def scenario(selector, instances, targets, choose):
         waiting = choose()
         await run_ready()
-        assert len(targets.asked) == 2
-        while len(targets.asked) < 4:  # unanswered probes do not block others
+        assert len(targets.probed) == 2
+        while len(targets.probed) < 4:  # unanswered probes do not block others
             await asyncio.sleep(0.001)
-        targets.answer(targets.asked[3])
-        assert (await waiting).instance.name == targets.asked[3]
+        targets.answer(targets.probed[3])
+        assert (await waiting).instance.name == targets.probed[3]
 
     run_with_manual_probes([("hall-a", f"t-{n}") for n in range(6)], scenario)
 
@@ -366,8 +368,8 @@
         selector.record_status(instances.find("t-0"), SHORT_BACKOFF)
         waiting = choose()
         await run_ready()
-        assert not targets.asked
-        while not targets.asked:
+        assert not targets.probed
+        while not targets.probed:
             await asyncio.sleep(0.001)
         assert selector.backoff_left("s") == 0.0
         targets.answer("t-0")
