--- a/dunlinnotch/coordination/core.py
+++ b/dunlinnotch/coordination/core.py
@@ -11,10 +11,10 @@
 from typing import TYPE_CHECKING
 
 from dunlinnotch._logs import event
-from dunlinnotch.coordination.budgets.probe_leases import LEASE_S, ProbeLeaseHolder
+from dunlinnotch.coordination.budgets.probe_leases import DEFAULT_LEASE_S, ProbeLeaseHolder
 from dunlinnotch.coordination.budgets.probes import ProbeBudget, probes_per_second
 from dunlinnotch.coordination.choosing.directory import PoolDirectory
-from dunlinnotch.coordination.choosing.subset import highest
+from dunlinnotch.coordination.choosing.subset import highest_weighted
 from dunlinnotch.coordination.membership.rows import Membership
 from dunlinnotch.coordination.membership.steering import Steering
 from dunlinnotch.coordination.requests.drain import Drain
@@ -73,7 +73,7 @@
     suspect_s: Seconds = 6.0
     forget_s: Seconds = 30.0
     drain_margin_s: Seconds = 1.0
-    lease_s: Seconds = LEASE_S
+    lease_s: Seconds = DEFAULT_LEASE_S
     readers: int = 3
 
 
@@ -201,18 +201,18 @@
     def is_reader(self) -> bool:
         """Return whether this box polls the table often on behalf of its place."""
         names = [row.name for row in self.membership.live() if row.place == self.place]
-        readers = highest(self.place, names, self.timing.readers)
+        readers = highest_weighted(self.place, names, self.timing.readers)
         return self.holder.version == 0 or self.name in readers
 
     def maintain(self) -> None:
         """Refresh this box's row and the pools, which depend on the rows of other boxes."""
         pools = self.directory.pools()
-        leaving = tuple(notice for pool in pools for notice in pool.told_leaving())
+        leaving = tuple(notice for pool in pools for notice in pool.leaving_targets())
         self.membership.refresh_own(in_flight=self.gate.in_flight, leaving=leaving)
         self.directory.rebuild(self.holder.tree, self.membership.live())
         leaving_at_peers = [notice for row in self.membership.rows() for notice in row.leaving]
         for pool in self.directory.pools():
-            pool.hear_leaving(leaving_at_peers)
+            pool.record_leaving(leaving_at_peers)
 
     def apply_run_state(self) -> None:
         """Start or cancel a drain, according to the states in the settings tree."""
@@ -257,16 +257,18 @@
     def _probe_if_due(self, pool: ServicePool, target: TargetRecord) -> None:
         now = self._clock()
         settings = self._probe_settings(pool, target)
-        if not self._budget.wanted(target, now) or not self.probe_lease.held(settings.boxes_max):
+        if not self._budget.needs_probe(target, now) or not self.probe_lease.held(
+            settings.boxes_max
+        ):
             return
-        if not self._budget.take(target.address, settings, now):
+        if not self._budget.try_spend(target.address, settings, now):
             return
         try:
             report = self._probe(target.address)
         finally:
-            self._budget.ended(target.address)
+            self._budget.record_end(target.address)
         if report is not None:
-            pool.heard(target, report)
+            pool.record_report(target, report)
         event(_log, "probe", target=target.address, service=pool.service, report=report)
 
     def _activate(self, tree: SettingsTree) -> None:
--- a/dunlinnotch/coordination/requests/forward.py
+++ b/dunlinnotch/coordination/requests/forward.py
@@ -299,14 +299,14 @@
             service = run.service = kind.service_at(run.split_point)
             if not run.counted_in_budget:
                 run.counted_in_budget = True
-                self.retry_share(service).request()
+                self.retry_share(service).record_request()
             selection = await self._choose(run, kind, service)
             if selection is None:
                 return last_failure or self._no_target_refusal(run, service)
             if not self._selection_holds(run, selection):
                 self._selector.release(selection)
                 continue
-            if run.sends and not self.retry_share(service).take():
+            if run.sends and not self.retry_share(service).try_spend():
                 self._selector.release(selection)
                 return last_failure or self._no_target_refusal(run, service)
             end = await self._attempt(run, kind, selection)
--- a/dunlinnotch/coordination/requests/router.py
+++ b/dunlinnotch/coordination/requests/router.py
@@ -224,8 +224,8 @@
             self._log_choice(run, grant.choice, call_result)
             if not self._may_retry(run, call_result, settings):
                 return call_result
-            next_grant = pool.again(
-                exclude=run.tried, kind=run.call.kind, repeatable=settings.repeatable
+            next_grant = pool.choose_retry(
+                exclude=run.tried, kind=run.call.kind, idempotent=settings.repeatable
             )
             if next_grant is None:
                 return call_result
@@ -234,7 +234,7 @@
     def _wait_for_target(
         self, run: _Run, pool: ServicePool, settings: Settings
     ) -> Grant | CallResult:
-        if not pool.usable():
+        if not pool.has_usable_target():
             detail = "no target of the service accepts new calls"
             return _refused(Reason.NO_TARGET, detail, _UNAVAILABLE)
         now = self._clock()
@@ -245,14 +245,14 @@
             kind=run.call.kind,
             rank=settings.rank,
             share=settings.share,
-            give_up=min(run.call.deadline, now + settings.queue_ms / 1000),
-            repeatable=settings.repeatable,
-            wake=granted.set,
+            queue_deadline=min(run.call.deadline, now + settings.queue_ms / 1000),
+            idempotent=settings.repeatable,
+            on_granted=granted.set,
         )
         retry_delay = pool.enter(ticket)
         if retry_delay is None and ticket.state is TicketState.WAITING:
-            granted.wait(max(0.0, ticket.give_up - self._clock()))
-            retry_delay = pool.give_up(ticket)
+            granted.wait(max(0.0, ticket.queue_deadline - self._clock()))
+            retry_delay = pool.cancel(ticket)
         run.waited = self._clock() - now
         if ticket.grant is None:
             wait = max(retry_delay or 0.0, _DEFAULT_RETRY_AFTER_S)
@@ -273,7 +273,7 @@
     ) -> CallResult:
         """Relay an answer; one that breaks off never ends cleanly for the caller."""
         target = grant.choice.target
-        pool.heard(target, answered.report)
+        pool.record_report(target, answered.report)
         verdict = (
             _AttemptVerdict.FAILED
             if answered.head.status >= _SERVER_ERROR
@@ -309,7 +309,7 @@
         self, result: NotSent | Refused | Broken, grant: Grant, pool: ServicePool
     ) -> CallResult:
         if isinstance(result, Refused):
-            pool.heard(grant.choice.target, result.report)
+            pool.record_report(grant.choice.target, result.report)
             self._finish(pool, grant, _AttemptVerdict.DECLINED)
             detail = f"the target refused: {result.mark}"
             return _refused(Reason.TARGET_REFUSED, detail, _UNAVAILABLE)
--- a/dunlinnotch/daemon/box.py
+++ b/dunlinnotch/daemon/box.py
@@ -239,8 +239,8 @@
         """Dispatch waiting calls at intervals, as load estimates change without an event."""
         directory = self.core.directory
         while not self._stopped.is_set():
-            directory.some_wait.wait()
-            directory.some_wait.clear()
+            directory.calls_waiting.wait()
+            directory.calls_waiting.clear()
             while any(pool.pump() for pool in directory.pools()):
                 time.sleep(_DISPATCH_INTERVAL_S)
 
--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -272,7 +272,7 @@
         if changed:
             event(_log, "reload-needs-restart", level=logging.WARNING, fields=changed)
         self._settings = replace(settings, **{n: getattr(self._settings, n) for n in fixed})
-        self.probes.per_s = settings.probes_per_s
+        self.probes.max_per_s = settings.probes_per_s
         self.forwarder.configure_retry_shares(
             ratio=settings.retry_ratio,
             slack=settings.retry_slack,
@@ -411,7 +411,7 @@
     def _apply_target_rows(self, rows: list[TableRow]) -> None:
         self._target_listing.apply(rows)
         self._target_client.keep_only(self.instances.addresses())
-        self.probes.keep_only({instance.name for instance in self.instances.all()})
+        self.probes.retain({instance.name for instance in self.instances.all()})
 
     def _gauges(self) -> dict[str, float]:
         gauges = {
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -117,7 +117,7 @@
     self.leaving = False
 
 
-def _held_for_ever(self, seats):
+def _held_for_ever(self, lease_count):
     return self.lease is not None
 
 
@@ -245,15 +245,15 @@
     return None
 
 
-def _bear_anything(self, queue, instance, most, now):
+def _accept_anything(self, queue, instance, max_ratios, now):
     return True
 
 
-def _learn_nothing(self, service, fill):
+def _learn_nothing(self, service, utilisation):
     return 1.0
 
 
-def _offer_nothing(self, queue, instance, asked):
+def _offer_nothing(self, queue, instance, probe_result):
     return False
 
 
@@ -318,7 +318,7 @@
 ENTRY, SHARES = "tests/test_entry.py", "tests/test_shares.py"
 CRASHING, CRASH_GOSSIP = "tests/test_crashing.py", "tests/test_crash_gossip.py"
 LINKS, SELECTOR = "tests/test_links.py", "tests/test_selector.py"
-REST, LEAVING = "tests/test_rest.py", "tests/test_leaving_targets.py"
+BACKOFF, LEAVING = "tests/test_backoff.py", "tests/test_leaving_targets.py"
 
 MUTANTS = (
     Mutant("repeat what may run once", Forwarder, "_may_retry", _repeat_anything, ENTRY),
@@ -348,15 +348,21 @@
         property(_forget_starts),
         "tests/test_instances.py",
     ),
-    Mutant("grant no rest", InstanceList, "back_off", _grant_no_rest, REST),
-    Mutant("let all wait though all rest", InstanceList, "backoff_left", _rest_is_no_reason, REST),
+    Mutant("grant no rest", InstanceList, "back_off", _grant_no_rest, BACKOFF),
+    Mutant(
+        "let all wait though all back off",
+        InstanceList,
+        "backoff_left",
+        _rest_is_no_reason,
+        BACKOFF,
+    ),
     Mutant("hear no target say it leaves", InstanceList, "retire", _hear_no_leaving, LEAVING),
     Mutant(
-        "set no target aside that refuses",
+        "eject no target that refuses",
         FreshReportChooser,
         "record_refusal",
         _blame_nobody,
-        REST,
+        BACKOFF,
     ),
     Mutant("try any number of targets", Forwarder, "_may_retry", _any_number_of_tries, ENTRY),
     Mutant("give targets three seconds more", WorkerDialect, "request_headers", _more_time, ENTRY),
@@ -382,8 +388,8 @@
         _keep_lapsed,
         "tests/test_store_tables.py",
     ),
-    Mutant("probe without a budget", ProbeShare, "take", _spend_freely, SHARES),
-    Mutant("repeat without a budget", RetryShare, "take", _spend_freely, SHARES),
+    Mutant("probe without a budget", ProbeShare, "try_spend", _spend_freely, SHARES),
+    Mutant("repeat without a budget", RetryShare, "try_spend", _spend_freely, SHARES),
     Mutant("leave the store to others", Mesh, "is_reader", _nobody_reads, "tests/test_mesh.py"),
     Mutant("tell no other place", Links, "far", _tell_nobody_far, LINKS),
     Mutant("take a word told on for a new one", Heartbeat, "aged", _told_on_as_new, LINKS),
@@ -396,11 +402,15 @@
         _never_behind,
         "tests/test_following.py",
     ),
-    Mutant("send what can't end in time", TargetSelector, "_bearable", _bear_anything, ENTRY),
-    Mutant("send to targets found full", Saturation, "room", 1.0, SELECTOR),
-    Mutant("hand no target to those that wait", TargetSelector, "_offer", _offer_nothing, SELECTOR),
     Mutant(
-        "learn nothing of fullness",
+        "send what can't end in time", TargetSelector, "_is_acceptable", _accept_anything, ENTRY
+    ),
+    Mutant("send to targets found full", Saturation, "admission_share", 1.0, SELECTOR),
+    Mutant(
+        "offer no target to waiting requests", TargetSelector, "_offer", _offer_nothing, SELECTOR
+    ),
+    Mutant(
+        "learn nothing of utilisation",
         LatencyModel,
         "slowdown",
         _learn_nothing,
@@ -451,7 +461,9 @@
     Mutant("drain without waiting for callers", Drain, "start", _drain_at_once),
     Mutant("ignore that a target leaves", TargetRecord, "record_state", _never_leaving),
     Mutant("skip the expiry of a lease", probe_leases.ProbeLeaseHolder, "held", _held_for_ever),
-    Mutant("take a lease before it expired", probe_leases.ProbeLeaseHolder, "_free", _always_free),
+    Mutant(
+        "take a lease before it expired", probe_leases.ProbeLeaseHolder, "_is_free", _always_free
+    ),
     Mutant("ignore the share of the budget", probes, "probes_per_second", _whole_budget),
     Mutant("forget once-keys", IdempotencyLedger, "claim", _claim_always),
     Mutant(
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -513,8 +513,8 @@
 
             monkeypatch.setattr(LinkPool, "take", connect_while_leaving)
             # Without probes, the connection is opened for the request itself.
-            box.probes.per_s = 0.0
-            monkeypatch.setattr(type(box.probes), "has_left", lambda self, target: False)
+            box.probes.max_per_s = 0.0
+            monkeypatch.setattr(type(box.probes), "is_available", lambda self, target: False)
             body = b"x" if method == "POST" else b""
             answer = await call(box, path, "r1", method=method, body=body)
             assert answer.status in (200, 503)
