--- a/benchmarks/goodput.py
+++ b/benchmarks/goodput.py
@@ -151,7 +151,7 @@
 
     head = AnswerHead(200, "OK", (), 0)
 
-    async def whole_within(self, most: int) -> bytes | None:
+    async def read_complete(self, max_bytes: int) -> bytes | None:
         """Return the empty body."""
         return b""
 
@@ -191,23 +191,23 @@
         request: CallerRequest,
         body: object,
         *,
-        left: float,
-        said: Callable[[TargetStatus], None],
+        remaining: float,
+        on_status: Callable[[TargetStatus], None],
         **_: object,
     ) -> AttemptEnd:
         """Have a target work on a request."""
         target = self._targets[address]
         await asyncio.sleep(_TRAVEL_S)
         try:
-            async with asyncio.timeout(left):
+            async with asyncio.timeout(remaining):
                 done = await target.work()
         except TimeoutError:
             return Broken(Reason.TARGET_BROKEN, "the target gave up at the deadline", 504)
         await asyncio.sleep(_TRAVEL_S)
         if not done:
-            said(TargetStatus(target.report()))
+            on_status(TargetStatus(target.report()))
             return NotRun(503, wrong_target=False)
-        said(TargetStatus(target.report()))
+        on_status(TargetStatus(target.report()))
         return Answered(ModelAnswer())
 
 
--- a/dunlinnotch/coordination/requests/bodies.py
+++ b/dunlinnotch/coordination/requests/bodies.py
@@ -32,7 +32,7 @@
         self._whole = True
 
     @property
-    def whole(self) -> bytes | None:
+    def complete(self) -> bytes | None:
         """The body if all of it is held."""
         return bytes(self._held) if self._whole else None
 
--- a/dunlinnotch/coordination/requests/forward.py
+++ b/dunlinnotch/coordination/requests/forward.py
@@ -342,12 +342,12 @@
                 instance.address,
                 request,
                 run.body,
-                left=left,
+                remaining=left,
                 instance=instance.name,
-                still=lambda: self._still(run, pick),
-                said=lambda status: self._hear(trial, status),
+                may_send=lambda: self._still(run, pick),
+                on_status=lambda status: self._hear(trial, status),
                 probe_result=pick.asked,
-                once=not kind.repeatable,
+                at_most_once=not kind.repeatable,
             )
             trial.end = type(end).__name__
             if isinstance(end, NotRun | Broken):
@@ -400,7 +400,7 @@
         head = answer.head
         failed = head.status >= 500
         try:
-            whole = await answer.whole_within(_READ_FIRST)
+            whole = await answer.read_complete(_READ_FIRST)
             if failed:
                 self._chooser.failed(instance, self._loop.time())
                 if self._worth_repeating(run, kind):
--- a/dunlinnotch/platform/dialect.py
+++ b/dunlinnotch/platform/dialect.py
@@ -65,11 +65,11 @@
     """How workers are spoken to."""
 
     def request_headers(
-        self, request: CallerRequest, *, left: float, instance: str
+        self, request: CallerRequest, *, remaining: float, instance: str
     ) -> Sequence[Header]:
-        """Return the headers of a request passed on with ``left`` seconds to run."""
+        """Return the headers of a request passed on with ``remaining`` seconds to run."""
         headers = list(end_to_end(request.headers, _SET_BY_SYSTEM))
-        headers.append(Header(DEADLINE, str(max(1, int(left * 1000)))))
+        headers.append(Header(DEADLINE, str(max(1, int(remaining * 1000)))))
         headers.append(Header(EXPECT_INSTANCE, instance))
         return headers
 
--- a/dunlinnotch/protocol/relay.py
+++ b/dunlinnotch/protocol/relay.py
@@ -67,9 +67,9 @@
     """How targets are spoken to: headers and paths, no decisions."""
 
     def request_headers(
-        self, request: CallerRequest, *, left: Seconds, instance: str
+        self, request: CallerRequest, *, remaining: Seconds, instance: str
     ) -> Sequence[Header]:
-        """Return the headers of a request passed on with ``left`` seconds to run."""
+        """Return the headers of a request passed on with ``remaining`` seconds to run."""
 
     def classify(self, head: AnswerHead, request: CallerRequest) -> Verdict:
         """Tell what an answer's head is to a request."""
@@ -119,7 +119,7 @@
     """The body of a request on its way to a target."""
 
     @property
-    def whole(self) -> bytes | None:
+    def complete(self) -> bytes | None:
         """The body if all of it is held, so that it may be sent again."""
 
     def parts(self) -> AsyncIterator[bytes]:
@@ -157,7 +157,7 @@
 
     head: AnswerHead
 
-    async def whole_within(self, most: int) -> bytes | None:
+    async def read_complete(self, max_bytes: int) -> bytes | None:
         """Read the body if it is at most so long; ``None`` if it is longer."""
 
     def parts(self) -> AsyncIterator[bytes]:
@@ -195,12 +195,12 @@
         request: CallerRequest,
         body: RelayBody,
         *,
-        left: Seconds,
+        remaining: Seconds,
         instance: str,
-        still: Callable[[], bool],
-        said: Callable[[TargetStatus], None],
+        may_send: Callable[[], bool],
+        on_status: Callable[[TargetStatus], None],
         probe_result: ProbeResult | None = None,
-        once: bool = False,
+        at_most_once: bool = False,
     ) -> AttemptEnd:
         """Send one request and wait for the head of its answer."""
 
--- a/dunlinnotch/transport/stream/client.py
+++ b/dunlinnotch/transport/stream/client.py
@@ -57,19 +57,19 @@
         self._first: bytes = b""
         self.head = head
 
-    async def whole_within(self, most: int) -> bytes | None:
+    async def read_complete(self, max_bytes: int) -> bytes | None:
         """Read the body if it is at most so long; ``None`` if it is longer.
 
         Raises
         ------
         BodyCutError
         """
-        if self.head.length is not None and self.head.length > most:
+        if self.head.length is not None and self.head.length > max_bytes:
             return None
         held = bytearray()
         async for part in self._incoming.parts():
             held += part
-            if len(held) > most:
+            if len(held) > max_bytes:
                 self._first = bytes(held)
                 return None
         return bytes(held)
@@ -186,12 +186,12 @@
         request: CallerRequest,
         body: RelayBody,
         *,
-        left: Seconds,
+        remaining: Seconds,
         instance: str,
-        still: Callable[[], bool],
-        said: Callable[[TargetStatus], None],
+        may_send: Callable[[], bool],
+        on_status: Callable[[TargetStatus], None],
         probe_result: ProbeResult | None = None,
-        once: bool = False,
+        at_most_once: bool = False,
     ) -> AttemptEnd:
         """Send one request to one target and wait for the head of its answer.
 
@@ -200,19 +200,19 @@
         address : str
         request : CallerRequest
         body : RelayBody
-        left : float
+        remaining : float
             Seconds that the target is given.
         instance : str
             The target that is meant; another one at the address refuses.
-        still : callable
+        may_send : callable
             Returns whether the request may go to the target now; asked once there is
             a connection, which may have taken its time.
-        said : callable
+        on_status : callable
             Told what the target says of itself, as soon as the head of an answer has
             come and whatever becomes of that answer.
         probe_result : ProbeResult, optional
             A probe whose connection is used.
-        once : bool, default False
+        at_most_once : bool, default False
             Whether the request may run only once, so that a connection which
             its target may have forgotten is no choice.
 
@@ -221,17 +221,17 @@
         When cancelled, the connection is closed, so that the target stops.
         """
         pool = self.pool(address)
-        link = await self._take_link(pool, probe_result, once=once)
+        link = await self._take_link(pool, probe_result, at_most_once=at_most_once)
         if isinstance(link, NotSent):
             return link
-        if not still():
+        if not may_send():
             pool.give_back(link)
             return NotSent(Reason.NO_TARGET, "the target was given up before it was reached")
         ended: AttemptEnd | None = None
         sender: asyncio.Task[None] | None = None
         try:
-            headers = self._dialect.request_headers(request, left=left, instance=instance)
-            whole = body.whole
+            headers = self._dialect.request_headers(request, remaining=remaining, instance=instance)
+            whole = body.complete
             length = request.length if whole is None else len(whole)
             head = request_head(request.method, request.path, headers, length=length)
             link.head_only = request.method == "HEAD"
@@ -240,7 +240,7 @@
             else:
                 link.write(head)
                 sender = asyncio.create_task(_send_body(link, body, chunked=length is None))
-            ended = await self._await_answer(pool, link, request, sender, said)
+            ended = await self._await_answer(pool, link, request, sender, on_status)
         except _CallerBodyError as error:
             ended = Broken(Reason.BODY_BROKEN, str(error))
         except (LinkBrokenError, BodyCutError) as error:
@@ -257,14 +257,14 @@
 
     @staticmethod
     async def _take_link(
-        pool: LinkPool, probe_result: ProbeResult | None, *, once: bool
+        pool: LinkPool, probe_result: ProbeResult | None, *, at_most_once: bool
     ) -> TargetLink | NotSent:
         """Return the connection of a probe if it is still good, else another."""
         if probe_result is not None:
             link, probe_result.link = probe_result.link, None
             if isinstance(link, TargetLink) and not link.over:
                 return link
-        return await pool.take(rested_most=_RESTED_ONCE_S if once else IDLE_MOST_S)
+        return await pool.take(rested_most=_RESTED_ONCE_S if at_most_once else IDLE_MOST_S)
 
     async def _await_answer(
         self,
@@ -272,7 +272,7 @@
         link: TargetLink,
         request: CallerRequest,
         sender: asyncio.Task[None] | None,
-        said: Callable[[TargetStatus], None],
+        on_status: Callable[[TargetStatus], None],
     ) -> AttemptEnd:
         while True:
             incoming = await self._next_answer(link, sender)
@@ -284,7 +284,7 @@
                 await incoming.skip()
                 continue
             if verdict is not Verdict.WRONG_TARGET:
-                said(self._dialect.status(head))
+                on_status(self._dialect.status(head))
             if verdict is Verdict.MATCHING:
                 passed = replace(head, headers=tuple(self._dialect.answer_headers(head)))
                 return Answered(LinkAnswer(pool, incoming, sender, passed))
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -309,8 +309,8 @@
     return not run.reply.begun and run.body.resendable and not run.may_have_run
 
 
-def _more_time(self, request, *, left, instance):
-    return _REQUEST_HEADERS(self, request, left=left + 3.0, instance=instance)
+def _more_time(self, request, *, remaining, instance):
+    return _REQUEST_HEADERS(self, request, remaining=remaining + 3.0, instance=instance)
 
 
 _REQUEST_HEADERS = WorkerDialect.request_headers
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -189,7 +189,7 @@
 
 
 def test_a_request_is_passed_on_with_what_is_left_and_the_target_that_is_meant():
-    headers = WorkerDialect().request_headers(REQUEST, left=1.25, instance="i-1")
+    headers = WorkerDialect().request_headers(REQUEST, remaining=1.25, instance="i-1")
     assert headers == [
         Header("Host", "h"),
         Header("Attempt-Id", "id-1"),
