--- a/dunlinnotch/coordination/choosing/pool.py
+++ b/dunlinnotch/coordination/choosing/pool.py
@@ -161,9 +161,9 @@
             if report.in_flight is not None:
                 self._chooser.heard(target, now, report.in_flight)
             target.take_state(report.incarnation, leaving=report.leaving)
-            if report.rest:
-                target.rest_until = max(target.rest_until, now + report.rest)
-            if report.cold:
+            if report.backoff:
+                target.rest_until = max(target.rest_until, now + report.backoff)
+            if report.warming_up:
                 target.begin_warm_up(now, self._chooser.warm_up_s)
 
     def hear_leaving(self, leaving: Iterable[LeavingTarget]) -> None:
--- a/dunlinnotch/coordination/requests/router.py
+++ b/dunlinnotch/coordination/requests/router.py
@@ -275,7 +275,7 @@
             outcome = Outcome.ANSWERED if whole else Outcome.UNKNOWN
             return CallResult(outcome, 0, Reason.CALLER_GONE, "the caller left", begun=True)
         finally:
-            answered.body.close(whole=whole)
+            answered.body.close(complete=whole)
             self._finish(pool, grant, ending)
 
     def _not_answered(
--- a/dunlinnotch/platform/dialect.py
+++ b/dunlinnotch/platform/dialect.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from dunlinnotch.protocol.http import TURNED_AWAY, end_to_end, rest_asked
+from dunlinnotch.protocol.http import BACKOFF_STATUSES, end_to_end, requested_backoff
 from dunlinnotch.protocol.relay import CallerRequest, Verdict
 from dunlinnotch.state.heads import Header
 from dunlinnotch.state.target_status import TargetReport, TargetStatus
@@ -100,7 +100,7 @@
     def status(self, head: AnswerHead) -> TargetStatus:
         """Return what a worker says of itself beside an answer."""
         leaving = find(head.headers, LEAVING.lower()) == "1"
-        rest = rest_asked(head.status, find(head.headers, REST.lower()))
+        rest = requested_backoff(head.status, find(head.headers, REST.lower()))
         return TargetStatus(_report(head), rest, leaving)
 
     def probe_headers(self, address: str) -> Sequence[Header]:
@@ -117,7 +117,7 @@
         """Return whether a worker turned a health check away as it does requests."""
         # What answers a request carries its id.
         of_request = find(head.headers, REQUEST_ID.lower()) is not None
-        return head.status in TURNED_AWAY and not of_request
+        return head.status in BACKOFF_STATUSES and not of_request
 
 
 def _is_number(text: str) -> bool:
--- a/dunlinnotch/protocol/attempt.py
+++ b/dunlinnotch/protocol/attempt.py
@@ -22,18 +22,18 @@
     in_flight : int or None
         Calls in flight there besides the one answered.
     leaving : bool
-    cold : bool
+    warming_up : bool
     incarnation : str or None
         Changes with each start of the target.
-    rest : float, default 0.0
+    backoff : float, default 0.0
         Seconds for which it wants nothing more from this box.
     """
 
     in_flight: int | None = None
     leaving: bool = False
-    cold: bool = False
+    warming_up: bool = False
     incarnation: str | None = None
-    rest: Seconds = 0.0
+    backoff: Seconds = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -66,7 +66,7 @@
     def chunks(self) -> Iterator[bytes]:
         """Yield the body; raise :class:`BodyCutError` if it is not whole."""
 
-    def close(self, *, whole: bool) -> None:
+    def close(self, *, complete: bool) -> None:
         """Give the connection back if the body was whole, else close it."""
 
 
--- a/dunlinnotch/protocol/http.py
+++ b/dunlinnotch/protocol/http.py
@@ -50,8 +50,8 @@
     }
 )
 #: Headers that the box sets itself; those of a caller or target are dropped.
-OWN_REQUEST = frozenset({DEADLINE_MS.lower(), CALL_ID.lower(), ONCE_KEY.lower()})
-OWN_ANSWER = frozenset(
+RESERVED_REQUEST_HEADERS = frozenset({DEADLINE_MS.lower(), CALL_ID.lower(), ONCE_KEY.lower()})
+RESERVED_ANSWER_HEADERS = frozenset(
     n.lower()
     for n in (
         OUTCOME,
@@ -98,11 +98,11 @@
 
 
 #: Statuses with which a target turns a request away, and may ask for rest.
-TURNED_AWAY = frozenset({429, 503})
+BACKOFF_STATUSES = frozenset({429, 503})
 _SECONDS = re.compile(r"\d{1,9}(?:\.\d{1,9})?", re.ASCII)
 #: Rest is granted for at most so long, in seconds: a value that no target means would put
 #: it out of use until it starts again.
-_REST_MOST_S = 3600.0
+_MAX_BACKOFF_S = 3600.0
 
 
 def end_to_end(headers: Iterable[Header], own: frozenset[str]) -> tuple[Header, ...]:
@@ -135,7 +135,7 @@
     return tuple(headers)
 
 
-def rest_asked(status: int, stated: str | None) -> Seconds:
+def requested_backoff(status: int, stated: str | None) -> Seconds:
     """Return for how long a target that turns a request away wants nothing more.
 
     Parameters
@@ -149,11 +149,11 @@
     float
         Seconds, 0 if it asks for none, or for what can't be read.
     """
-    if status not in TURNED_AWAY or stated is None:
+    if status not in BACKOFF_STATUSES or stated is None:
         return 0.0
     if _SECONDS.fullmatch(stated.strip()) is None:
         return 0.0
-    return min(_REST_MOST_S, float(stated))
+    return min(_MAX_BACKOFF_S, float(stated))
 
 
 __all__ = [
@@ -164,5 +164,5 @@
     "Reason",
     "end_to_end",
     "refusal_headers",
-    "rest_asked",
+    "requested_backoff",
 ]
--- a/dunlinnotch/transport/front.py
+++ b/dunlinnotch/transport/front.py
@@ -191,7 +191,7 @@
             kind=kind,
             method=exchange.method,
             path=exchange.path,
-            headers=http.end_to_end(exchange.headers, http.OWN_REQUEST),
+            headers=http.end_to_end(exchange.headers, http.RESERVED_REQUEST_HEADERS),
             arrived=now,
             deadline=now + allowed,
             idempotency_key=exchange.header(http.ONCE_KEY),
--- a/dunlinnotch/transport/targets.py
+++ b/dunlinnotch/transport/targets.py
@@ -330,7 +330,7 @@
                     break
             else:
                 whole = True
-        body.close(whole=whole)
+        body.close(complete=whole)
 
 
 def _wake_at(sock: socket.socket, size: int) -> None:
@@ -363,15 +363,16 @@
     return LoadReport(
         in_flight=int(load) if load.isascii() and load.isdigit() else None,
         leaving=state == "draining",
-        cold=state == "cold",
+        warming_up=state == "cold",
         incarnation=response.headers.get(http.TARGET_INCARNATION),
-        rest=http.rest_asked(response.status, response.headers.get("Retry-After")),
+        backoff=http.requested_backoff(response.status, response.headers.get("Retry-After")),
     )
 
 
 def _read_head(response: HTTPResponse) -> AnswerHead:
     headers = http.end_to_end(
-        (Header(name, value) for name, value in response.headers.items()), http.OWN_ANSWER
+        (Header(name, value) for name, value in response.headers.items()),
+        http.RESERVED_ANSWER_HEADERS,
     )
     length = response.headers.get("content-length")
     known = length is not None and length.isdigit() and not response.chunked
@@ -406,11 +407,15 @@
             msg = f"the target's answer was cut: {error}"
             raise BodyCutError(msg) from None
 
-    def close(self, *, whole: bool) -> None:
-        """Give the connection back if the body was whole, else close it."""
+    def close(self, *, complete: bool) -> None:
+        """Give the connection back if the body was complete, else close it."""
         conn = self._conn
         keeps = self._response.headers.get("connection", "").lower() != "close"
-        if not (whole and self._reusable and keeps) or conn.sock is None or peer_closed(conn.sock):
+        if (
+            not (complete and self._reusable and keeps)
+            or conn.sock is None
+            or peer_closed(conn.sock)
+        ):
             self._pools.discard(self._target, conn)
             return
         self._pools.give_back(self._target, conn)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -100,7 +100,7 @@
 
 def test_a_target_that_rests_gets_no_call_and_no_probe(pool, clock):
     tired, other = pool.records()
-    pool.heard(tired, LoadReport(in_flight=0, rest=3.0))
+    pool.heard(tired, LoadReport(in_flight=0, backoff=3.0))
     granted, waiting = fill(pool)
     assert {call.grant.choice.target.address for call in granted} == {other.address}
     assert pool.again(exclude=[other.address], kind="a", repeatable=True) is None
@@ -113,7 +113,7 @@
 
 def test_a_new_start_of_a_target_does_not_rest(pool, clock):
     tired, _ = pool.records()
-    pool.heard(tired, LoadReport(incarnation="1", rest=3.0))
+    pool.heard(tired, LoadReport(incarnation="1", backoff=3.0))
     assert tired.wants_nothing(clock())
     pool.heard(tired, LoadReport(incarnation="2"))
     assert not tired.wants_nothing(clock())
--- a/tests/test_targets.py
+++ b/tests/test_targets.py
@@ -105,7 +105,7 @@
 
 def read(result, *, whole=True):
     data = b"".join(result.body.chunks())
-    result.body.close(whole=whole)
+    result.body.close(complete=whole)
     return data
 
 
@@ -155,7 +155,7 @@
     assert isinstance(result, Answered)
     with pytest.raises(BodyCutError):
         read(result)
-    result.body.close(whole=False)
+    result.body.close(complete=False)
     assert pools.open_connections(target.address) == 0
 
 
@@ -196,7 +196,7 @@
     ]
     result = attempt(sender, target, make(1))
     assert isinstance(result, Refused)
-    assert result.report.rest == 2.5
+    assert result.report.backoff == 2.5
 
 
 def test_marked_refusal_and_bare_503_are_told_apart(target):
@@ -303,7 +303,7 @@
     if isinstance(result, Answered):
         with pytest.raises(BodyCutError):
             read(result)
-        result.body.close(whole=False)
+        result.body.close(complete=False)
     else:
         assert isinstance(result, Broken)
     assert pools.open_connections(target.address) == 0
--- a/tests/world.py
+++ b/tests/world.py
@@ -150,7 +150,7 @@
             raise BodyCutError("cut")
         yield self._data[3:]
 
-    def close(self, *, whole):
+    def close(self, *, complete):
         pass
 
 
