--- a/benchmarks/_boxes.py
+++ b/benchmarks/_boxes.py
@@ -88,17 +88,17 @@
     def _take(self, name: str, word: Heartbeat) -> list[tuple[Sequence[Heartbeat], str]]:
         """Have a box take in a word; return what it sends because of it."""
         mesh = self.meshes[name]
-        new = not mesh.knows(word.name)
-        if not mesh.take(word):
+        new = not mesh.is_known(word.name)
+        if not mesh.receive(word):
             return []
         answers: list[tuple[Sequence[Heartbeat], str]] = []
         if word.reply_requested:
             answers.append(([mesh.own_heartbeat(), *mesh.introductions(word.place)], word.peer))
         elif new:
             answers.append(([mesh.own_heartbeat()], word.peer))
-        if mesh.newer(word):
+        if mesh.newer_tables(word):
             self._fetch(name, word.name)
-            answers += [([mesh.own_heartbeat()], other) for other in mesh.to_tell_news()]
+            answers += [([mesh.own_heartbeat()], other) for other in mesh.update_peers()]
         return answers
 
     def _fetch(self, name: str, teller: str) -> None:
@@ -118,20 +118,20 @@
         """Let a turn go by, and each box tell its word."""
         self.clock.now += BEAT_S
         for mesh in self.meshes.values():
-            self.tell(mesh, mesh.to_tell())
+            self.tell(mesh, mesh.heartbeat_peers())
 
     def tell(self, mesh: Mesh, near: Sequence[str]) -> None:
         """Have a box tell its word near by and far away."""
         word = mesh.own_heartbeat()
         self.send([word], near)
-        self.send([word, *mesh.follower()], mesh.to_tell_far())
+        self.send([word, *mesh.local_follower()], mesh.remote_peers())
 
     def write(self, version: int) -> None:
         """Have the lead read a new version and tell it, as a reader does."""
-        lead = next(m for m in self.meshes.values() if m.is_lead())
+        lead = next(m for m in self.meshes.values() if m.is_primary_reader())
         row = TableRow("k", version, b"v")
         self.tables[lead.name].take(TableDelta("t", version, True, (row,)), at=self.clock.now)
-        self.tell(lead, lead.to_tell_news())
+        self.tell(lead, lead.update_peers())
 
     def settled(self) -> Boxes:
         """Introduce all boxes and let them speak for a while; return self."""
--- a/dunlinnotch/coordination/membership/crash_gossip.py
+++ b/dunlinnotch/coordination/membership/crash_gossip.py
@@ -125,12 +125,12 @@
         """Take in what a peer tells; pass it on if it is new."""
         evidence = self._evidence.merge(from_ages(seen, self._evidence.now))
         if evidence is not None:
-            self._changed([evidence], keeps=self._mesh.is_first())
+            self._changed([evidence], keeps=self._mesh.is_follower())
 
     def heard(self, word: Heartbeat) -> None:
         """Compare a peer's evidence with this box's own."""
         digest = self._evidence.digest
-        if word.crashes == digest:
+        if word.crash_digest == digest:
             self._now_known()
             return
         last = self._told_all_at.get(word.name, -math.inf)
@@ -162,12 +162,12 @@
                 barred_for_s=round(self._evidence.barred_for(evidence.request), 1),
             )
         self._publish()
-        peers = {*self._mesh.to_tell_news(), *self._mesh.to_tell_far()}
+        peers = {*self._mesh.update_peers(), *self._mesh.remote_peers()}
         self._send([as_ages(evidence, self._evidence.now) for evidence in new], peers)
 
     def _publish(self) -> None:
         """Put the digest into the words of this box."""
-        self._mesh.crashes = self._evidence.digest if self.known else None
+        self._mesh.crash_digest = self._evidence.digest if self.known else None
 
     def _now_known(self) -> None:
         before, self.known = self.known, True
@@ -195,8 +195,8 @@
     def _is_to_read(self) -> bool:
         now = self._evidence.now
         if not self.known:
-            return self._mesh.is_first() or now - self._began > _PATIENCE_S
-        cut_off = self._mesh.is_first() and bool(self._mesh.silent_places())
+            return self._mesh.is_follower() or now - self._began > _PATIENCE_S
+        cut_off = self._mesh.is_follower() and bool(self._mesh.silent_places())
         return cut_off and now - self._read_at > _CUT_OFF_S
 
     async def _read(self) -> RowsRead:
@@ -227,7 +227,7 @@
         era = self._era()
         if self._kept_in_era is None:
             self._kept_in_era = era if self.known else None
-        elif era > self._kept_in_era and self._mesh.is_first():
+        elif era > self._kept_in_era and self._mesh.is_follower():
             self._kept_in_era = era
             barred = [e.request for e in self._evidence.settled if e.in_turn >= BAR_AT]
             self._to_keep.update(barred)
--- a/dunlinnotch/coordination/membership/mesh.py
+++ b/dunlinnotch/coordination/membership/mesh.py
@@ -80,7 +80,7 @@
         self.state = STARTING
         self.reading = True
         self.in_flight = 0
-        self.crashes: int | None = None
+        self.crash_digest: int | None = None
         self.peer = peer
         self._incarnation = incarnation
         self._caller = caller
@@ -115,15 +115,15 @@
             peer=self.peer,
             state=self.state,
             reading=self.reading,
-            follows=self.is_first(),
+            follows=self.is_follower(),
             in_flight=self.in_flight,
-            boxes=dict(self._place_boxes),
+            box_counts=dict(self._place_boxes),
             tables=tables,
             reply_requested=reply_requested,
-            crashes=self.crashes,
+            crash_digest=self.crash_digest,
         )
 
-    def take(self, word: Heartbeat) -> bool:
+    def receive(self, word: Heartbeat) -> bool:
         """Take in a word; return False if it is old or this box's own."""
         if word.name == self.name:
             self._outgrow(word)
@@ -151,7 +151,7 @@
         self._verify_by(word, now)
         return True
 
-    def later_start(self, word: Heartbeat) -> Heartbeat | None:
+    def newer_incarnation(self, word: Heartbeat) -> Heartbeat | None:
         """Return the word of a later start of a box than the one that sent a word, if known."""
         known = self._heard.get(word.name)
         if known is None or known.word.incarnation <= word.incarnation:
@@ -171,15 +171,15 @@
             self._incarnation = word.incarnation + 1
 
     @property
-    def most_boxes(self) -> int:
+    def max_boxes(self) -> int:
         """The most boxes that there may be, over all places."""
         return sum(self._place_boxes.values())
 
     def _count(self, word: Heartbeat) -> None:
         """Note how many boxes the places have: as many as are known, or as anybody tells."""
         known = self._known[word.place] + (word.place == self.place)
-        for place, boxes in {**word.boxes, word.place: known}.items():
-            told = max(boxes, word.boxes.get(place, 0))
+        for place, boxes in {**word.box_counts, word.place: known}.items():
+            told = max(boxes, word.box_counts.get(place, 0))
             self._place_boxes[place] = max(told, self._place_boxes.get(place, 0))
 
     @staticmethod
@@ -199,7 +199,7 @@
             at = now - state.age_ms / 1000
             table.take_same(state.changed, state.version, at=at, era=state.era)
 
-    def newer(self, word: Heartbeat) -> list[str]:
+    def newer_tables(self, word: Heartbeat) -> list[str]:
         """Return the tables that the sender of a word knows further than this box."""
         found = []
         for name, state in word.tables.items():
@@ -210,11 +210,11 @@
                 found.append(name)
         return found
 
-    def knows(self, name: str) -> bool:
+    def is_known(self, name: str) -> bool:
         """Return whether a box has been heard and not forgotten."""
         return name in self._heard
 
-    def others(self) -> list[Heartbeat]:
+    def heartbeats(self) -> list[Heartbeat]:
         """Return the last words of all boxes not forgotten."""
         now = self._clock()
         gone = [name for name, heard in self._heard.items() if now - heard.at > FORGET_S]
@@ -224,26 +224,26 @@
             event(_log, "box-forgotten", box=name)
         return [heard.word for heard in self._heard.values()]
 
-    def note_silent(self) -> None:
+    def log_silent(self) -> None:
         """Log, once each, the boxes that are heard all the time and are now silent."""
         now = self._clock()
-        for word in self._links.near(self.others()):
+        for word in self._links.near(self.heartbeats()):
             heard = self._heard[word.name]
             if not heard.silent and now - heard.at > SUSPECT_S:
                 heard.silent = True
                 silent_s = round(now - heard.at, 2)
                 event(_log, "box-silent", box=word.name, place=word.place, silent_s=silent_s)
 
-    def to_tell(self) -> list[Address]:
+    def heartbeat_peers(self) -> list[Address]:
         """Return the peers that are to hear this box's word at each turn."""
-        return [word.peer for word in self._links.near(self.others())]
+        return [word.peer for word in self._links.near(self.heartbeats())]
 
-    def to_tell_far(self) -> list[Address]:
+    def remote_peers(self) -> list[Address]:
         """Return a few peers of other places, where there are too many boxes to tell all."""
-        far = self._links.far(self.others(), follows=self.is_first())
+        far = self._links.far(self.heartbeats(), follows=self.is_follower())
         return [word.peer for word in far]
 
-    def follower(self) -> list[Heartbeat]:
+    def local_follower(self) -> list[Heartbeat]:
         """Return the word of the box of this place that follows the store, aged until now."""
         now = self._clock()
         return [
@@ -252,9 +252,9 @@
             if heard.word.follows and heard.word.place == self.place and now - heard.at <= SUSPECT_S
         ]
 
-    def to_tell_news(self) -> list[Address]:
+    def update_peers(self) -> list[Address]:
         """Return the peers that are to hear at once of news of a table; they pass it on."""
-        return [word.peer for word in self._links.news(self.others())]
+        return [word.peer for word in self._links.news(self.heartbeats())]
 
     def introductions(self, place: str) -> list[Heartbeat]:
         """Return the words that a new box of a place needs to find its peers, aged until now."""
@@ -271,7 +271,7 @@
         """Return the places that have boxes none of which is heard."""
         return set(self._place_boxes) - {self.place, *(word.place for word in self.live())}
 
-    def is_first(self) -> bool:
+    def is_follower(self) -> bool:
         """Return whether this box is the one of its place that follows the store."""
         able = [self.name] if self.reading and self.state != DRAINING else []
         staying = [self.name] if self.state != DRAINING else []
@@ -282,17 +282,17 @@
         # Where nobody can read one still tries: if all did, all would tell all others.
         return highest(self.place, able or staying or [self.name], 1) == [self.name]
 
-    def live_here(self) -> int:
+    def local_live_count(self) -> int:
         """Return how many boxes of this place are heard, this one included."""
         return 1 + sum(word.place == self.place for word in self.live())
 
     def is_reader(self) -> bool:
         """Return whether this box reads the store: the first of its place, or if need be."""
-        return self.is_first() or self.stale()
+        return self.is_follower() or self.stale()
 
-    def is_lead(self) -> bool:
+    def is_primary_reader(self) -> bool:
         """Return whether this box is the one, of those that follow the store, that looks often."""
-        if not self.is_first():
+        if not self.is_follower():
             return False
         names = [w.name for w in self.live() if w.follows and w.reading and w.state == RUNNING]
         return self.name <= min(names, default=self.name)
@@ -312,7 +312,7 @@
             return float("inf")
         return self._clock() - table.verified_at
 
-    def offered(self, place: str) -> list[Address]:
+    def offered_addresses(self, place: str) -> list[Address]:
         """Return the callers' addresses of boxes to offer, those of ``place`` if enough."""
         now = self._clock()
         words = [h.word for h in self._heard.values() if now - h.at <= SUSPECT_S]
--- a/dunlinnotch/coordination/settings/following.py
+++ b/dunlinnotch/coordination/settings/following.py
@@ -87,7 +87,7 @@
             before = self._table.changed
             if await self._turn():
                 self._well()
-                if self._table.changed > before and not self._mesh.is_lead():
+                if self._table.changed > before and not self._mesh.is_primary_reader():
                     # The lead tells the next change; a call for each would cost the store.
                     await asyncio.sleep(_AFTER_NEWS_S)
             else:
@@ -97,8 +97,8 @@
     def _pause(self) -> Seconds:
         """Return the time to wait after a failed call."""
         first, longest = _PAUSE_S
-        if not self._mesh.is_first():
-            longest = max(longest, _PAUSE_SHARED_S * self._mesh.live_here())
+        if not self._mesh.is_follower():
+            longest = max(longest, _PAUSE_SHARED_S * self._mesh.local_live_count())
         return min(longest, float(first * 2 ** min(8, self._failures)))
 
     def look_again(self) -> None:
@@ -159,7 +159,7 @@
         """Return what changed since the last answer; None if the table must be read whole."""
         table = self._table
         era, after = table.era, table.version
-        wait = WAIT_LEAD_S if self._mesh.is_lead() else WAIT_S
+        wait = WAIT_LEAD_S if self._mesh.is_primary_reader() else WAIT_S
         async with asyncio.timeout(wait + _SLACK_S):
             changes = await self._source.changes(table.name, after, wait)
         if isinstance(changes, HistoryGone):
--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -318,7 +318,7 @@
                 self.mesh.reading = reading
                 self.gossip.tell_state()
             self.mesh.in_flight = self.forwarder.in_flight
-            boxes = max(self.mesh.most_boxes, _BOXES_LEAST)
+            boxes = max(self.mesh.max_boxes, _BOXES_LEAST)
             self.probes.boxes = boxes
             self.forwarder.set_boxes(boxes)
             await asyncio.sleep(_LOOK_S)
@@ -379,7 +379,7 @@
             window=settings.repeat_window,
             clock=self._loop.time,
         )
-        share.boxes = max(self.mesh.most_boxes, _BOXES_LEAST)
+        share.boxes = max(self.mesh.max_boxes, _BOXES_LEAST)
         return share
 
     def _probe_path(self, service: str) -> str:
@@ -397,7 +397,7 @@
         self.limits.idle_s = limits.idle_s
         self.forwarder.keep_only({kind.name for kind in table.kinds})
         most = min((s.connections for s in table.services.values()), default=256)
-        self._targets.set_most(max(4, most // max(self.mesh.most_boxes, _BOXES_LEAST)))
+        self._targets.set_most(max(4, most // max(self.mesh.max_boxes, _BOXES_LEAST)))
 
     def _take_targets(self, rows: list[TableRow]) -> None:
         self._listed.take(rows)
--- a/dunlinnotch/daemon/gossip.py
+++ b/dunlinnotch/daemon/gossip.py
@@ -111,7 +111,7 @@
         """Send this box's word now and then."""
         while True:
             self._send_word()
-            self._mesh.note_silent()
+            self._mesh.log_silent()
             await asyncio.sleep(WORD_S * (0.9 + 0.2 * self._rng.random()))
 
     async def hear_peers(self) -> None:
@@ -130,31 +130,31 @@
 
     def ask_few(self) -> None:
         """Ask a few peers what has changed: their answers come within a round trip."""
-        near = self._mesh.to_tell()
+        near = self._mesh.heartbeat_peers()
         self._ask(self._rng.sample(near, min(_ASKED_ON_WAKING, len(near))))
 
     def tell_state(self) -> None:
         """Tell peers at once that something changed at this box."""
-        self._tell_all(self._mesh.to_tell())
+        self._tell_all(self._mesh.heartbeat_peers())
 
     def tell_answer(self, changed: bool) -> None:
         """Tell peers at once what this box, as a reader, had from the store."""
         if changed:
-            self._tell_all(self._mesh.to_tell_news())
-        elif self._mesh.is_first():
+            self._tell_all(self._mesh.update_peers())
+        elif self._mesh.is_follower():
             # Its place knows by this that nothing changed, and need not read for itself.
-            self._words.send([self._mesh.own_heartbeat()], self._mesh.to_tell())
+            self._words.send([self._mesh.own_heartbeat()], self._mesh.heartbeat_peers())
 
     def send_crashes(self, seen: Iterable[CrashReport], to: Iterable[Address]) -> None:
         """Send evidence on requests under which targets ended."""
         self._words.send(seen, to)
 
     def _send_word(self) -> None:
-        known = {word.peer for word in self._mesh.others()}
+        known = {word.peer for word in self._mesh.heartbeats()}
         strange = [seed for seed in self._seeds() if seed not in known]
         if strange:
             self._ask(strange)
-        self._tell_all(self._mesh.to_tell())
+        self._tell_all(self._mesh.heartbeat_peers())
 
     def _ask(self, peers: Sequence[Address]) -> None:
         self._words.send([self._mesh.own_heartbeat(reply_requested=True)], peers)
@@ -163,7 +163,7 @@
         """Send this box's word to peers near by, and to a few far away with what they lack."""
         word = self._mesh.own_heartbeat()
         self._words.send([word], near)
-        self._words.send([word, *self._mesh.follower()], self._mesh.to_tell_far())
+        self._words.send([word, *self._mesh.local_follower()], self._mesh.remote_peers())
 
     def _introduce(self, word: Heartbeat) -> None:
         """Answer a box that knows few others with the words of those that it is to know."""
@@ -176,9 +176,9 @@
     # -- hearing
 
     def _take_word(self, word: Heartbeat) -> None:
-        new = not self._mesh.knows(word.name)
-        if not self._mesh.take(word):
-            later = self._mesh.later_start(word)
+        new = not self._mesh.is_known(word.name)
+        if not self._mesh.receive(word):
+            later = self._mesh.newer_incarnation(word)
             if later is not None:
                 self._words.send([later], [word.peer])
             return
@@ -189,7 +189,7 @@
         elif new:
             # It may know this box as little.
             self._words.send([self._mesh.own_heartbeat()], [word.peer])
-        for table in self._mesh.newer(word):
+        for table in self._mesh.newer_tables(word):
             if table not in self._fetching:
                 self._fetching.add(table)
                 self._spawn(self._fetch(table, word.peer))
@@ -215,7 +215,7 @@
             self._fetching.discard(table)
         if age_ms >= 0 and followed.take(delta, at=sent - age_ms / 1000):
             event(_log, "table-fetched", table=table, peer=peer, version=delta.version)
-            self._words.send([self._mesh.own_heartbeat()], self._mesh.to_tell_news())
+            self._words.send([self._mesh.own_heartbeat()], self._mesh.update_peers())
             for follower in self._followers:
                 follower.look_again()
 
--- a/dunlinnotch/platform/doors.py
+++ b/dunlinnotch/platform/doors.py
@@ -44,7 +44,7 @@
             exchange.reply(404, (), b"")
             return
         place = parse_qs(query).get("zone", [""])[0]
-        addresses = self._box.mesh.offered(place)[:_ADDRESSES_MOST]
+        addresses = self._box.mesh.offered_addresses(place)[:_ADDRESSES_MOST]
         if not addresses or self._box.pause_detector.catching_up:
             exchange.reply(503, (Header("Retry-After", "0.2"),), b"")
             return
--- a/dunlinnotch/protocol/mesh.py
+++ b/dunlinnotch/protocol/mesh.py
@@ -68,12 +68,12 @@
     follows : bool
         Whether it is the box of its place that follows the store.
     in_flight : int
-    boxes : dict of str to int
+    box_counts : dict of str to int
         The most boxes of each place that the sender knows to have been at once.
     tables : dict of str to TableState
     reply_requested : bool
         Whether the sender wants to hear the receiver's word now.
-    crashes : int or None
+    crash_digest : int or None
         The digest of its evidence on requests that end targets; ``None`` while it does
         not know what others saw.
     """
@@ -88,10 +88,10 @@
     reading: bool
     follows: bool
     in_flight: int
-    boxes: dict[str, int]
+    box_counts: dict[str, int]
     tables: dict[str, TableState]
     reply_requested: bool = False
-    crashes: int | None = None
+    crash_digest: int | None = None
 
     @property
     def recency(self) -> tuple[int, int]:
@@ -137,8 +137,8 @@
         [word.reading, word.follows, word.reply_requested],
         word.in_flight,
         tables,
-        word.boxes,
-        word.crashes,
+        word.box_counts,
+        word.crash_digest,
     ]
     packed: bytes = msgpack.packb(fields)
     return packed
@@ -188,10 +188,10 @@
         reading=bool(reading),
         follows=bool(follows),
         in_flight=int(fields[9]),
-        boxes={str(place): int(count) for place, count in fields[11].items()},
+        box_counts={str(place): int(count) for place, count in fields[11].items()},
         tables={str(n): TableState(*map(int, state)) for n, state in fields[10].items()},
         reply_requested=bool(wants),
-        crashes=None if fields[12] is None else int(fields[12]),
+        crash_digest=None if fields[12] is None else int(fields[12]),
     )
 
 
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -426,7 +426,7 @@
         property(_ready_while_stopping),
         ENTRY,
     ),
-    Mutant("all follow what nobody can read", Mesh, "is_first", _all_are_first, LINKS),
+    Mutant("all follow what nobody can read", Mesh, "is_follower", _all_are_first, LINKS),
     Mutant("retry a loan after it was sent", Router, "_may_retry", _retry_anything),
     Mutant("say not run of a broken attempt", Router, "_not_answered", _say_not_run),
     Mutant(
--- a/tests/test_crash_gossip.py
+++ b/tests/test_crash_gossip.py
@@ -220,7 +220,7 @@
             boxes.news[f"box-{number}"].tell([evidence])
         boxes.deliver()
         assert boxes.barring() == 9
-        first = next(m for m in boxes.meshes.values() if m.is_first())
+        first = next(m for m in boxes.meshes.values() if m.is_follower())
         await work(boxes.news[first.name], lambda: store.rows)
 
     asyncio.run(test())
@@ -299,7 +299,7 @@
         assert not news.may_serve
         boxes.clock.now += 3
         assert news.may_serve
-        assert boxes.meshes["box-0"].own_heartbeat().crashes is None
+        assert boxes.meshes["box-0"].own_heartbeat().crash_digest is None
 
     asyncio.run(test())
 
@@ -332,7 +332,7 @@
         boxes.see("box-0", TARGETS)
         await work(boxes.news["box-0"], lambda: store.rows)
         # Its place hears none of the others any more, and missed the news.
-        first = next(m for m in boxes.meshes.values() if m.place == "lekki" and m.is_first())
+        first = next(m for m in boxes.meshes.values() if m.place == "lekki" and m.is_follower())
         log = boxes.logs[first.name]
         log._seen.clear()
         boxes.clock.now += 30
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -445,7 +445,7 @@
             await until(lambda: world.ran == ["held"])
             kept_reader, kept_writer = await connect(leaving)
             leaving.ask_to_stop()
-            await until(lambda: leaving.caller not in other.mesh.offered("hall-a"))
+            await until(lambda: leaving.caller not in other.mesh.offered_addresses("hall-a"))
             assert not leaving.ready
             await until(lambda: leaving.refusing)
             kept_writer.write(head("/read/", "late"))
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -186,12 +186,12 @@
     async def test(source, table, follower, news):
         mesh = follower._mesh
         for number in range(19):
-            mesh.take(replace(mesh.own_heartbeat(), name=f"b-{number}", reading=False))
+            mesh.receive(replace(mesh.own_heartbeat(), name=f"b-{number}", reading=False))
         mesh.reading = False
         follower._failures = 9
-        mesh.is_first = lambda: False
+        mesh.is_follower = lambda: False
         assert follower._pause() == pytest.approx(0.4 * 20)
-        mesh.is_first = lambda: True
+        mesh.is_follower = lambda: True
         assert follower._pause() == pytest.approx(0.8)
 
     follow(test)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -21,13 +21,13 @@
     for mesh in boxes.meshes.values():
         known = {word.name for word in mesh.live() if word.place == mesh.place}
         assert known | {mesh.name} == near_names(boxes, mesh)
-        assert mesh.most_boxes == 142
-        assert {word.place for word in mesh.others()} == set(PLACES)
+        assert mesh.max_boxes == 142
+        assert {word.place for word in mesh.heartbeats()} == set(PLACES)
 
 
 def test_boxes_that_hear_a_part_of_their_place_know_how_many_there_are():
     boxes = Boxes(250).settled()
-    assert {mesh.most_boxes for mesh in boxes.meshes.values()} == {250}
+    assert {mesh.max_boxes for mesh in boxes.meshes.values()} == {250}
 
 
 @pytest.mark.parametrize("lost", [0.0, 0.05])
@@ -46,7 +46,7 @@
     assert all(age < STALE_S for age in _ages(boxes))
     readers = [m for m in boxes.meshes.values() if m.is_reader()]
     assert sorted(m.place for m in readers) == sorted(PLACES)
-    assert [m.name for m in readers if m.is_lead()] == [min(m.name for m in readers)]
+    assert [m.name for m in readers if m.is_primary_reader()] == [min(m.name for m in readers)]
 
 
 def _ages(boxes):
@@ -59,16 +59,16 @@
     boxes.sent = 0
     boxes.beat()
     assert boxes.sent <= count * max(FULL_MESH, NEAR_MOST + 2 * len(PLACES))
-    most = max(len(mesh.to_tell() + mesh.to_tell_far()) for mesh in boxes.meshes.values())
+    most = max(len(mesh.heartbeat_peers() + mesh.remote_peers()) for mesh in boxes.meshes.values())
     assert most <= max(FULL_MESH, NEAR_MOST + 2 * len(PLACES))
 
 
 def test_few_boxes_tell_everybody():
     boxes = Boxes(FULL_MESH + 1).settled()
     for mesh in boxes.meshes.values():
-        assert len(mesh.to_tell()) == FULL_MESH
-        assert len(mesh.to_tell_news()) == FULL_MESH
-        assert mesh.to_tell_far() == []
+        assert len(mesh.heartbeat_peers()) == FULL_MESH
+        assert len(mesh.update_peers()) == FULL_MESH
+        assert mesh.remote_peers() == []
 
 
 @pytest.mark.parametrize("lost", [0.0, 0.05])
@@ -77,10 +77,10 @@
     boxes = Boxes(18, lost=lost).settled()
     for mesh in boxes.meshes.values():
         near = near_names(boxes, mesh) - {mesh.name}
-        assert len(mesh.to_tell()) == len(near)
-        assert len(mesh.to_tell_far()) <= 2 * (len(PLACES) - 1)
+        assert len(mesh.heartbeat_peers()) == len(near)
+        assert len(mesh.remote_peers()) <= 2 * (len(PLACES) - 1)
         assert near <= {word.name for word in mesh.live()}
-        assert mesh.most_boxes == 18
+        assert mesh.max_boxes == 18
     boxes.write(6)
     boxes.beat()
     boxes.beat()
@@ -90,17 +90,17 @@
 def test_callers_of_a_place_are_sent_to_all_of_it_only_by_a_box_that_knows_it():
     boxes = Boxes(142).settled()
     mesh = boxes.meshes["box-77"]
-    own = mesh.offered(mesh.place)
+    own = mesh.offered_addresses(mesh.place)
     assert sorted(own) == sorted(f"{name}:1" for name in near_names(boxes, mesh))
     # Of another place a few are known: all its callers would go to those.
-    elsewhere = mesh.offered(next(place for place in PLACES if place != mesh.place))
+    elsewhere = mesh.offered_addresses(next(place for place in PLACES if place != mesh.place))
     assert set(own) < set(elsewhere)
 
 
 def test_a_word_told_on_is_as_old_as_it_is():
     boxes = Boxes(40).settled()
     seed, other = boxes.meshes["box-0"], boxes.meshes["box-4"]
-    seed.take(other.own_heartbeat())
+    seed.receive(other.own_heartbeat())
     before = boxes.tables["box-4"].verified_at
     boxes.clock.now += 1.0
     told = {word.name: word for word in seed.introductions(seed.place)}["box-4"]
@@ -123,7 +123,7 @@
         mesh.reading = False
     for _ in range(8):
         boxes.beat()
-    firsts = [mesh.place for mesh in boxes.meshes.values() if mesh.is_first()]
+    firsts = [mesh.place for mesh in boxes.meshes.values() if mesh.is_follower()]
     assert sorted(firsts) == sorted(PLACES)
     assert bytes_of_a_turn(boxes) < 1.2 * before
 
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -69,13 +69,13 @@
     def tell():
         for mesh in meshes:
             for other in meshes:
-                other.take(mesh.own_heartbeat())
+                other.receive(mesh.own_heartbeat())
 
     tell()
     tell()  # Who follows the store is told by words that know of all boxes.
     first = [mesh for mesh in meshes if mesh.is_reader()]
     assert sorted(mesh.place for mesh in first) == ["hall-a", "hall-b"]
-    lead = [mesh for mesh in meshes if mesh.is_lead()]
+    lead = [mesh for mesh in meshes if mesh.is_primary_reader()]
     assert [mesh.name for mesh in lead] == [min(mesh.name for mesh in first)]
     near = next(mesh for mesh in first if mesh.place == "hall-a")
     near.reading = False
@@ -91,17 +91,17 @@
     for _ in range(2):
         for mesh in meshes:
             for other in meshes:
-                other.take(mesh.own_heartbeat())
+                other.receive(mesh.own_heartbeat())
     (reader,) = [mesh for mesh in meshes if mesh.is_reader()]
     assert reader.name != min(mesh.name for mesh in meshes)
-    assert [mesh for mesh in meshes if mesh.is_lead()] == [reader]
+    assert [mesh for mesh in meshes if mesh.is_primary_reader()] == [reader]
 
 
 def test_a_box_that_nobody_tells_anything_new_reads_for_itself():
     clock = Clock()
     (first, _), (second, _) = box("a", clock), box("b", clock)
-    first.take(second.own_heartbeat())
-    second.take(first.own_heartbeat())
+    first.receive(second.own_heartbeat())
+    second.receive(first.own_heartbeat())
     idle = first if not first.is_reader() else second
     clock.now += SUSPECT_S / 2
     assert not idle.is_reader()
@@ -114,13 +114,13 @@
     clock = Clock()
     (first, _), (second, _) = box("a", clock, version=0), box("b", clock, version=0)
     for mesh in (first, second):
-        mesh.take(second.own_heartbeat())
-        mesh.take(first.own_heartbeat())
+        mesh.receive(second.own_heartbeat())
+        mesh.receive(first.own_heartbeat())
     assert [mesh.is_reader() for mesh in (first, second)].count(True) == 1
     clock.now += START_PATIENCE_S[1]
     for mesh in (first, second):
-        mesh.take(second.own_heartbeat())
-        mesh.take(first.own_heartbeat())
+        mesh.receive(second.own_heartbeat())
+        mesh.receive(first.own_heartbeat())
     assert first.is_reader()
     assert second.is_reader()
 
@@ -130,42 +130,42 @@
     (teller, told), (mesh, table) = box("a", clock, version=5), box("b", clock, version=4)
     clock.now += 1.0
     told.verify(clock.now)
-    mesh.take(teller.own_heartbeat())
+    mesh.receive(teller.own_heartbeat())
     assert mesh.age(table) == pytest.approx(1.0)
-    assert mesh.newer(teller.own_heartbeat()) == ["t"]
+    assert mesh.newer_tables(teller.own_heartbeat()) == ["t"]
     table.take(told.since(4), at=clock.now - 0.5)
-    mesh.take(teller.own_heartbeat())
+    mesh.receive(teller.own_heartbeat())
     assert mesh.age(table) == pytest.approx(0.0, abs=0.002)
-    assert mesh.newer(teller.own_heartbeat()) == []
+    assert mesh.newer_tables(teller.own_heartbeat()) == []
 
 
 def test_a_restarted_box_does_not_listen_to_its_older_words():
     clock = Clock()
     (old, _), (new, _), (mesh, _) = box("a", clock), box("a", clock, incarnation=2), box("b", clock)
     late = old.own_heartbeat()
-    assert mesh.take(new.own_heartbeat())
-    assert not mesh.take(late)
-    assert not mesh.take(replace(mesh.own_heartbeat(), incarnation=9))
+    assert mesh.receive(new.own_heartbeat())
+    assert not mesh.receive(late)
+    assert not mesh.receive(replace(mesh.own_heartbeat(), incarnation=9))
 
 
 def test_a_box_whose_clock_went_back_before_it_started_again_is_heard_at_once():
     """Peers hold to the later start that they know, so it counts its own from there."""
     clock = Clock()
     (old, _), (mesh, _) = box("a", clock, incarnation=9), box("b", clock)
-    mesh.take(old.own_heartbeat())
+    mesh.receive(old.own_heartbeat())
     new, _ = box("a", clock, incarnation=4)
-    assert not mesh.take(new.own_heartbeat())
-    answer = mesh.later_start(new.own_heartbeat())
+    assert not mesh.receive(new.own_heartbeat())
+    answer = mesh.newer_incarnation(new.own_heartbeat())
     assert answer.incarnation == 9
-    assert not new.take(answer)
-    assert mesh.take(new.own_heartbeat())
-    assert mesh.later_start(new.own_heartbeat()) is None
+    assert not new.receive(answer)
+    assert mesh.receive(new.own_heartbeat())
+    assert mesh.newer_incarnation(new.own_heartbeat()) is None
 
 
 def test_a_late_word_of_an_earlier_start_changes_nothing_at_the_box_itself():
     clock = Clock()
     (old, _), (new, _) = box("a", clock), box("a", clock, incarnation=2)
-    assert not new.take(old.own_heartbeat())
+    assert not new.receive(old.own_heartbeat())
     assert new.own_heartbeat().incarnation == 2
 
 
@@ -173,12 +173,12 @@
     caplog.set_level("INFO")
     clock = Clock()
     (mesh, _), (other, _) = box("a", clock), box("b", clock)
-    mesh.take(other.own_heartbeat())
-    mesh.note_silent()
+    mesh.receive(other.own_heartbeat())
+    mesh.log_silent()
     clock.now += SUSPECT_S + 0.1
-    mesh.note_silent()
-    mesh.note_silent()
-    mesh.take(other.own_heartbeat())
+    mesh.log_silent()
+    mesh.log_silent()
+    mesh.receive(other.own_heartbeat())
     events = [record.getMessage() for record in caplog.records]
     assert events == ["box", "box-silent", "box-heard-again"]
     assert caplog.records[1].fields["box"] == "b"
@@ -191,17 +191,17 @@
     near, _ = box("b", clock)
     far, _ = box("c", clock, place="hall-b")
     for other in (near, far):
-        mesh.take(other.own_heartbeat())
-    assert sorted(mesh.offered("hall-a")) == ["a:1", "b:1"]
+        mesh.receive(other.own_heartbeat())
+    assert sorted(mesh.offered_addresses("hall-a")) == ["a:1", "b:1"]
     # One box alone would be all that callers of the place know.
-    assert sorted(mesh.offered("hall-b")) == ["a:1", "b:1", "c:1"]
+    assert sorted(mesh.offered_addresses("hall-b")) == ["a:1", "b:1", "c:1"]
     near.state = DRAINING
-    mesh.take(near.own_heartbeat())
-    assert sorted(mesh.offered("hall-a")) == ["a:1", "c:1"]
+    mesh.receive(near.own_heartbeat())
+    assert sorted(mesh.offered_addresses("hall-a")) == ["a:1", "c:1"]
     clock.now += SUSPECT_S + 0.1
     far.own_heartbeat()
-    assert sorted(mesh.offered("hall-a")) == ["a:1", "c:1"]  # nobody else: the last known
-    mesh.take(near.own_heartbeat())
+    assert sorted(mesh.offered_addresses("hall-a")) == ["a:1", "c:1"]  # nobody else: the last known
+    mesh.receive(near.own_heartbeat())
     near.state = RUNNING
-    mesh.take(near.own_heartbeat())
-    assert sorted(mesh.offered("hall-a")) == ["a:1", "b:1"]
+    mesh.receive(near.own_heartbeat())
+    assert sorted(mesh.offered_addresses("hall-a")) == ["a:1", "b:1"]
