--- a/dunlinnotch/coordination/membership/crash_gossip.py
+++ b/dunlinnotch/coordination/membership/crash_gossip.py
@@ -73,7 +73,7 @@
     store : RowStore
     send : callable
         Sends evidence to peers.
-    on_known : callable
+    on_synced : callable
         Called once this box holds what was seen before it started: its peers wait for that.
     era : callable
         Returns the era of the store: what was kept in an earlier one may be lost.
@@ -81,7 +81,7 @@
 
     Attributes
     ----------
-    known : bool
+    synced : bool
         Whether this box holds what was seen before it started.
     """
 
@@ -92,7 +92,7 @@
         store: RowStore,
         *,
         send: Send,
-        on_known: Callable[[], None],
+        on_synced: Callable[[], None],
         era: Callable[[], int],
         rng: random.Random,
     ) -> None:
@@ -100,7 +100,7 @@
         self._mesh = mesh
         self._store = store
         self._send = send
-        self._on_known = on_known
+        self._on_synced = on_synced
         self._era = era
         self._kept_in_era: int | None = None
         self._rng = rng
@@ -108,30 +108,30 @@
         self._read_at = -math.inf
         self._told_all_at: dict[str, Seconds] = {}
         self._to_keep: set[str] = set()
-        self.known = False
+        self.synced = False
 
     @property
     def may_serve(self) -> bool:
         """Whether the box may take requests as far as this goes."""
-        return self.known or self._evidence.now - self._began > _SERVE_ANYHOW_S
+        return self.synced or self._evidence.now - self._began > _SERVE_ANYHOW_S
 
     # -- to and from peers
 
-    def tell(self, seen: Sequence[Evidence]) -> None:
+    def publish(self, seen: Sequence[Evidence]) -> None:
         """Tell peers what this box has seen itself."""
         self._changed(seen, keeps=True)
 
-    def take(self, seen: CrashReport) -> None:
+    def receive(self, seen: CrashReport) -> None:
         """Take in what a peer tells; pass it on if it is new."""
         evidence = self._evidence.merge(from_ages(seen, self._evidence.now))
         if evidence is not None:
             self._changed([evidence], keeps=self._mesh.is_follower())
 
-    def heard(self, word: Heartbeat) -> None:
+    def compare_digest(self, word: Heartbeat) -> None:
         """Compare a peer's evidence with this box's own."""
         digest = self._evidence.digest
         if word.crash_digest == digest:
-            self._now_known()
+            self._mark_synced()
             return
         last = self._told_all_at.get(word.name, -math.inf)
         if self._evidence.settled and self._evidence.now - last > _REPAIR_S:
@@ -161,20 +161,20 @@
                 answers=evidence.answers,
                 barred_for_s=round(self._evidence.barred_for(evidence.request), 1),
             )
-        self._publish()
+        self._update_digest()
         peers = {*self._mesh.update_peers(), *self._mesh.remote_peers()}
         self._send([as_ages(evidence, self._evidence.now) for evidence in new], peers)
 
-    def _publish(self) -> None:
+    def _update_digest(self) -> None:
         """Put the digest into the words of this box."""
-        self._mesh.crash_digest = self._evidence.digest if self.known else None
+        self._mesh.crash_digest = self._evidence.digest if self.synced else None
 
-    def _now_known(self) -> None:
-        before, self.known = self.known, True
-        self._publish()
+    def _mark_synced(self) -> None:
+        before, self.synced = self.synced, True
+        self._update_digest()
         if not before:
             event(_log, "evidence-known", requests=len(self._evidence.settled))
-            self._on_known()
+            self._on_synced()
 
     # -- to and from the store
 
@@ -194,7 +194,7 @@
 
     def _is_to_read(self) -> bool:
         now = self._evidence.now
-        if not self.known:
+        if not self.synced:
             return self._mesh.is_follower() or now - self._began > _PATIENCE_S
         cut_off = self._mesh.is_follower() and bool(self._mesh.silent_places())
         return cut_off and now - self._read_at > _CUT_OFF_S
@@ -208,7 +208,7 @@
         new = [evidence for evidence in merged if evidence is not None]
         if new:
             self._changed(new, keeps=False)
-        self._now_known()
+        self._mark_synced()
 
     def _kept(self, read: RowsRead) -> dict[str, Evidence]:
         """Return the evidence in rows, by this box's clock; what can't be read is logged."""
@@ -226,7 +226,7 @@
         """Have all bars kept once more after the store has come back from a copy."""
         era = self._era()
         if self._kept_in_era is None:
-            self._kept_in_era = era if self.known else None
+            self._kept_in_era = era if self.synced else None
         elif era > self._kept_in_era and self._mesh.is_follower():
             self._kept_in_era = era
             barred = [e.request for e in self._evidence.settled if e.in_turn >= BAR_AT]
--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -186,12 +186,12 @@
             self.mesh,
             adapter.rows,
             send=self.gossip.send_crashes,
-            on_known=self.gossip.tell_state,
+            on_synced=self.gossip.tell_state,
             era=lambda: max(table.era for table in self.tables.values()),
             rng=rng,
         )
         self.gossip.join(self.crash_gossip, self.followers)
-        self._crash_guard = CrashGuard(self.crashes, self._targets, tell=self.crash_gossip.tell)
+        self._crash_guard = CrashGuard(self.crashes, self._targets, tell=self.crash_gossip.publish)
         self.probes = ProbeShare(settings.probes_per_s, clock=clock)
         self.times = WorkTimes()
         chooser = FreshChooser(place=settings.place, times=self.times, rng=rng)
--- a/dunlinnotch/daemon/gossip.py
+++ b/dunlinnotch/daemon/gossip.py
@@ -183,7 +183,7 @@
                 self._words.send([later], [word.peer])
             return
         if self._crash_gossip is not None:
-            self._crash_gossip.heard(word)
+            self._crash_gossip.compare_digest(word)
         if word.reply_requested:
             self._introduce(word)
         elif new:
@@ -196,7 +196,7 @@
 
     def _take_crashes(self, seen: CrashReport) -> None:
         if self._crash_gossip is not None:
-            self._crash_gossip.take(seen)
+            self._crash_gossip.receive(seen)
 
     # -- tables
 
--- a/dunlinnotch/daemon/operator.py
+++ b/dunlinnotch/daemon/operator.py
@@ -9,7 +9,13 @@
 from dunlinnotch import _codec
 from dunlinnotch._logs import event
 from dunlinnotch.errors import DunlinnotchError, SettingsError
-from dunlinnotch.protocol.operator import EditRequest, Explained, Failure, Status, TargetNow
+from dunlinnotch.protocol.operator import (
+    EditRequest,
+    EffectiveValue,
+    Failure,
+    Status,
+    TargetSnapshot,
+)
 from dunlinnotch.state.heads import Header
 from dunlinnotch.state.schema import FIELD_NAMES
 from dunlinnotch.state.tree import check_path
@@ -105,14 +111,15 @@
         tree = self._core.holder.tree
         effective = tree.effective(path).model_dump(mode="json")
         return tuple(
-            Explained(name, _text(effective[name]), tree.source(path, name)) for name in FIELD_NAMES
+            EffectiveValue(name, _text(effective[name]), tree.source(path, name))
+            for name in FIELD_NAMES
         )
 
     def _targets(self, query: dict[str, str], _body: bytes) -> object:
         pool = self._core.directory.pool(query.get("service", ""))
         scores = [] if pool is None else pool.scores()
         return tuple(
-            TargetNow(
+            TargetSnapshot(
                 t.address,
                 t.place,
                 round(score, 3),
--- a/dunlinnotch/protocol/operator.py
+++ b/dunlinnotch/protocol/operator.py
@@ -79,7 +79,7 @@
 
 @wire
 @dataclass(frozen=True, slots=True)
-class Explained:
+class EffectiveValue:
     """One effective value and the node that it comes from."""
 
     name: str
@@ -89,7 +89,7 @@
 
 @wire
 @dataclass(frozen=True, slots=True)
-class TargetNow:
+class TargetSnapshot:
     """One target as this box sees it now."""
 
     address: Address
--- a/dunlinnotch/transport/operator.py
+++ b/dunlinnotch/transport/operator.py
@@ -9,7 +9,13 @@
 
 from dunlinnotch import _codec
 from dunlinnotch.errors import BoxUnreachableError, RequestRefusedError
-from dunlinnotch.protocol.operator import EditRequest, Explained, Failure, Status, TargetNow
+from dunlinnotch.protocol.operator import (
+    EditRequest,
+    EffectiveValue,
+    Failure,
+    Status,
+    TargetSnapshot,
+)
 from dunlinnotch.protocol.outcome import EditResult
 from dunlinnotch.state.tree import SettingsTree
 
@@ -46,13 +52,13 @@
         """Return the settings tree in force there."""
         return self._ask(SettingsTree, "GET", "/settings")
 
-    def explain(self, path: str) -> list[Explained]:
+    def explain(self, path: str) -> list[EffectiveValue]:
         """Return each effective value at ``path`` with its source."""
-        return self._ask(list[Explained], "GET", f"/explain?{urlencode({'path': path})}")
+        return self._ask(list[EffectiveValue], "GET", f"/explain?{urlencode({'path': path})}")
 
-    def targets(self, service: str) -> list[TargetNow]:
+    def targets(self, service: str) -> list[TargetSnapshot]:
         """Return the targets of a service as the box sees them now."""
-        return self._ask(list[TargetNow], "GET", f"/targets?{urlencode({'service': service})}")
+        return self._ask(list[TargetSnapshot], "GET", f"/targets?{urlencode({'service': service})}")
 
     def log_level(self, level: str) -> None:
         """Change the least level that the box logs."""
--- a/tests/test_crash_gossip.py
+++ b/tests/test_crash_gossip.py
@@ -63,11 +63,11 @@
         self.evidence_bytes = 0
         self.queue = []
         self.logs = {name: CrashLog(clock=self.clock) for name in self.meshes}
-        self.news = {name: self._news(name) for name in self.meshes}
-        for news in self.news.values():
-            news._now_known()
+        self.gossip = {name: self._make_gossip(name) for name in self.meshes}
+        for gossip in self.gossip.values():
+            gossip._mark_synced()
 
-    def _news(self, name):
+    def _make_gossip(self, name):
         def send(seen, to):
             for message in seen:
                 size = sum(map(len, pack_messages([message])))
@@ -80,13 +80,13 @@
             self.meshes[name],
             self.store,
             send=send,
-            on_known=lambda: None,
+            on_synced=lambda: None,
             era=lambda: self.store.era,
             rng=rng,
         )
 
     def _take(self, name, word):
-        self.news[name].heard(word)
+        self.gossip[name].compare_digest(word)
         return super()._take(name, word)
 
     def deliver(self):
@@ -94,11 +94,11 @@
         while self.queue:
             message, peer = self.queue.pop(0)
             if self.rng.random() >= self.lost:
-                self.news[peer].take(message)
+                self.gossip[peer].receive(message)
 
     def see(self, name, targets, *, request="worst"):
         """Have a box see targets end under a request."""
-        self.news[name].tell([self.logs[name].note_ended(request, targets)])
+        self.gossip[name].publish([self.logs[name].note_ended(request, targets)])
         self.deliver()
 
     def turn(self):
@@ -151,7 +151,7 @@
     boxes.see("box-0", TARGETS)
     late = boxes.logs["box-5"]
     late._seen.clear()
-    boxes.news["box-5"]._publish()
+    boxes.gossip["box-5"]._update_digest()
     boxes.turn()
     boxes.turn()
     assert late.barred_for("worst") > 0
@@ -160,9 +160,9 @@
 # -- the store
 
 
-async def work(news, until):
+async def work(gossip, until):
     """Let a box read and write its rows until something holds."""
-    task = asyncio.create_task(news.run())
+    task = asyncio.create_task(gossip.run())
     try:
         async with asyncio.timeout(20):
             while not until():
@@ -178,30 +178,30 @@
         boxes.clock.now = clock
     log = CrashLog(clock=boxes.clock)
     mesh = boxes.meshes["box-0"]
-    news = CrashGossip(
+    gossip = CrashGossip(
         log,
         mesh,
         store,
         send=lambda *_: None,
-        on_known=lambda: None,
+        on_synced=lambda: None,
         era=lambda: store.era,
         rng=random.Random(1),
     )
-    return news, log, boxes
+    return gossip, log, boxes
 
 
 def test_a_bar_is_kept_and_read_by_boxes_that_start_anew_with_its_age():
     async def test():
         store = Rows()
-        news, log, boxes = alone(store)
-        await work(news, lambda: news.known)
+        gossip, log, boxes = alone(store)
+        await work(gossip, lambda: gossip.synced)
         boxes.clock.now += 1
-        news.tell([log.note_ended("worst", TARGETS)])
-        await work(news, lambda: store.rows)
+        gossip.publish([log.note_ended("worst", TARGETS)])
+        await work(gossip, lambda: store.rows)
         store.now += 60
         again, later, _ = alone(store, clock=7.0)
-        assert again.known is False
-        await work(again, lambda: again.known)
+        assert again.synced is False
+        await work(again, lambda: again.synced)
         assert BAR_FIRST_S - 62 < later.barred_for("worst") <= BAR_FIRST_S - 60
 
     asyncio.run(test())
@@ -217,22 +217,22 @@
         ]
         # All three tell at once, before they hear each other.
         for number, evidence in enumerate(told):
-            boxes.news[f"box-{number}"].tell([evidence])
+            boxes.gossip[f"box-{number}"].publish([evidence])
         boxes.deliver()
         assert boxes.barring() == 9
         first = next(m for m in boxes.meshes.values() if m.is_follower())
-        await work(boxes.news[first.name], lambda: store.rows)
+        await work(boxes.gossip[first.name], lambda: store.rows)
 
     asyncio.run(test())
 
 
 async def with_bar_kept(store):
     """Return a box without peers that has had a bar kept in the store."""
-    news, log, _ = alone(store)
-    await work(news, lambda: news.known)
-    news.tell([log.note_ended("worst", TARGETS)])
-    await work(news, lambda: store.rows)
-    return news
+    gossip, log, _ = alone(store)
+    await work(gossip, lambda: gossip.synced)
+    gossip.publish([log.note_ended("worst", TARGETS)])
+    await work(gossip, lambda: store.rows)
+    return gossip
 
 
 def test_a_bar_that_a_store_back_from_a_copy_lost_is_kept_again():
@@ -240,10 +240,10 @@
 
     async def test():
         store = Rows()
-        news = await with_bar_kept(store)
+        gossip = await with_bar_kept(store)
         store.rows.clear()
         store.era += 1
-        await work(news, lambda: store.rows)
+        await work(gossip, lambda: store.rows)
         assert list(store.rows) == ["worst"]
 
     asyncio.run(test())
@@ -252,10 +252,10 @@
 def test_a_bar_that_is_still_kept_after_the_store_came_back_costs_one_reading():
     async def test():
         store = Rows()
-        news = await with_bar_kept(store)
+        gossip = await with_bar_kept(store)
         version, calls = store.version, store.calls
         store.era += 1
-        await work(news, lambda: store.calls > calls and not news._to_keep)
+        await work(gossip, lambda: store.calls > calls and not gossip._to_keep)
         assert (store.version, store.calls) == (version, calls + 1)
 
     asyncio.run(test())
@@ -264,11 +264,11 @@
 def test_what_bars_nothing_is_not_kept():
     async def test():
         store = Rows()
-        news, log, _ = alone(store)
-        await work(news, lambda: news.known)
-        news.tell([log.note_ended("once", targets(1))])
-        news.tell([log.note_ended("worst", TARGETS)])
-        await work(news, lambda: store.rows)
+        gossip, log, _ = alone(store)
+        await work(gossip, lambda: gossip.synced)
+        gossip.publish([log.note_ended("once", targets(1))])
+        gossip.publish([log.note_ended("worst", TARGETS)])
+        await work(gossip, lambda: store.rows)
         assert list(store.rows) == ["worst"]
 
     asyncio.run(test())
@@ -277,15 +277,15 @@
 def test_a_store_that_is_away_is_asked_again_until_it_keeps_the_bar():
     async def test():
         store = Rows()
-        news, log, _ = alone(store)
-        await work(news, lambda: news.known)
+        gossip, log, _ = alone(store)
+        await work(gossip, lambda: gossip.synced)
         store.away = True
         calls = store.calls
-        news.tell([log.note_ended("worst", TARGETS)])
-        await work(news, lambda: store.calls > calls + 1)
+        gossip.publish([log.note_ended("worst", TARGETS)])
+        await work(gossip, lambda: store.calls > calls + 1)
         assert not store.rows
         store.away = False
-        await work(news, lambda: store.rows)
+        await work(gossip, lambda: store.rows)
 
     asyncio.run(test())
 
@@ -294,11 +294,11 @@
     async def test():
         store = Rows()
         store.away = True
-        news, _, boxes = alone(store)
-        await work(news, lambda: store.calls > 1)
-        assert not news.may_serve
+        gossip, _, boxes = alone(store)
+        await work(gossip, lambda: store.calls > 1)
+        assert not gossip.may_serve
         boxes.clock.now += 3
-        assert news.may_serve
+        assert gossip.may_serve
         assert boxes.meshes["box-0"].own_heartbeat().crash_digest is None
 
     asyncio.run(test())
@@ -307,16 +307,16 @@
 def test_lapsed_and_unreadable_rows_are_removed_with_the_next_change(caplog):
     async def test():
         store = Rows()
-        news, log, _ = alone(store)
-        await work(news, lambda: news.known)
-        news.tell([log.note_ended("old", TARGETS)])
-        await work(news, lambda: store.rows)
+        gossip, log, _ = alone(store)
+        await work(gossip, lambda: gossip.synced)
+        gossip.publish([log.note_ended("old", TARGETS)])
+        await work(gossip, lambda: store.rows)
         store.rows["noise"] = (77, b"\xc1")
         store.now += 2 * KEEP_S
         again, later, _ = alone(store)
-        await work(again, lambda: again.known)
+        await work(again, lambda: again.synced)
         assert later.barred_for("old") == 0
-        again.tell([later.note_ended("new", TARGETS)])
+        again.publish([later.note_ended("new", TARGETS)])
         await work(again, lambda: "new" in store.rows)
         assert list(store.rows) == ["new"]
 
@@ -330,13 +330,13 @@
         store = Rows()
         boxes = TellingBoxes(8, store=store).settled()
         boxes.see("box-0", TARGETS)
-        await work(boxes.news["box-0"], lambda: store.rows)
-        # Its place hears none of the others any more, and missed the news.
+        await work(boxes.gossip["box-0"], lambda: store.rows)
+        # Its place hears none of the others any more, and missed the gossip.
         first = next(m for m in boxes.meshes.values() if m.place == "lekki" and m.is_follower())
         log = boxes.logs[first.name]
         log._seen.clear()
         boxes.clock.now += 30
         assert first.silent_places()
-        await work(boxes.news[first.name], lambda: log.barred_for("worst") > 0)
+        await work(boxes.gossip[first.name], lambda: log.barred_for("worst") > 0)
 
     asyncio.run(test())
