--- a/dunlinnotch/coordination/requests/bodies.py
+++ b/dunlinnotch/coordination/requests/bodies.py
@@ -32,7 +32,7 @@
         self._complete = True
 
     @property
-    def whole(self) -> bytes | None:
+    def complete(self) -> bytes | None:
         """The complete body, or None if only a part of it is buffered."""
         return bytes(self._buffer) if self._complete else None
 
--- a/dunlinnotch/coordination/requests/forward.py
+++ b/dunlinnotch/coordination/requests/forward.py
@@ -369,12 +369,12 @@
                 instance.address,
                 request,
                 run.body,
-                left=left,
+                remaining=left,
                 instance=instance.name,
-                still=lambda: self._selection_holds(run, selection),
-                said=lambda status: self._record_status(attempt, status),
+                may_send=lambda: self._selection_holds(run, selection),
+                on_status=lambda status: self._record_status(attempt, status),
                 probe_result=selection.probe,
-                once=not kind.idempotent,
+                at_most_once=not kind.idempotent,
             )
             attempt.result = type(end).__name__
             if isinstance(end, NotRun | Broken):
@@ -427,7 +427,7 @@
         head = answer.head
         failed = head.status >= 500
         try:
-            buffered_body = await answer.whole_within(_MAX_BUFFERED_ANSWER_BYTES)
+            buffered_body = await answer.read_complete(_MAX_BUFFERED_ANSWER_BYTES)
             if failed:
                 self._chooser.record_failure(instance, self._loop.time())
                 if self._should_retry_failure(run, kind):
--- a/dunlinnotch/coordination/requests/router.py
+++ b/dunlinnotch/coordination/requests/router.py
@@ -302,7 +302,7 @@
             outcome = Outcome.ANSWERED if complete else Outcome.UNKNOWN
             return CallResult(outcome, 0, Reason.CALLER_GONE, "the caller left", begun=True)
         finally:
-            answered.body.close(whole=complete)
+            answered.body.close(complete=complete)
             self._finish(pool, grant, verdict)
 
     def _failure_result(
--- a/dunlinnotch/coordination/settings/following.py
+++ b/dunlinnotch/coordination/settings/following.py
@@ -91,7 +91,7 @@
             before = self._table.changed
             if await self._poll_once():
                 self._record_success()
-                if self._table.changed > before and not self._mesh.is_lead():
+                if self._table.changed > before and not self._mesh.is_primary_reader():
                     # The primary reader reports the next change, which spares the store calls.
                     await asyncio.sleep(_AFTER_CHANGE_DELAY_S)
             else:
@@ -101,8 +101,8 @@
     def _retry_delay(self) -> Seconds:
         """Return the seconds to wait after a failed call, before jitter."""
         first_delay, max_delay = _RETRY_DELAYS_S
-        if not self._mesh.is_first():
-            max_delay = max(max_delay, _SHARED_RETRY_DELAY_S * self._mesh.live_here())
+        if not self._mesh.is_follower():
+            max_delay = max(max_delay, _SHARED_RETRY_DELAY_S * self._mesh.local_live_count())
         return min(max_delay, float(first_delay * 2 ** min(8, self._failures)))
 
     def restart_if_behind(self) -> None:
@@ -168,7 +168,7 @@
         """Return the changes since the last answer; None if a full snapshot is needed."""
         table = self._table
         era, after = table.epoch, table.version
-        wait = PRIMARY_POLL_TIMEOUT_S if self._mesh.is_lead() else POLL_TIMEOUT_S
+        wait = PRIMARY_POLL_TIMEOUT_S if self._mesh.is_primary_reader() else POLL_TIMEOUT_S
         async with asyncio.timeout(wait + _HUNG_MARGIN_S):
             changes = await self._source.changes(table.name, after, wait)
         if isinstance(changes, HistoryGone):
--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -196,13 +196,13 @@
             self.mesh,
             adapter.rows,
             send=self.gossip.send_crash_reports,
-            on_known=self.gossip.announce_state,
+            on_synced=self.gossip.announce_state,
             era=lambda: max(table.epoch for table in self.tables.values()),
             rng=rng,
         )
         self.gossip.attach(self.crash_gossip, self.followers)
         self._crash_guard = CrashGuard(
-            self.crashes, self._target_client, publish=self.crash_gossip.tell
+            self.crashes, self._target_client, publish=self.crash_gossip.publish
         )
         self.probes = ProbeShare(settings.probes_per_s, clock=clock)
         self.work_times = LatencyModel()
@@ -330,7 +330,7 @@
                 self.mesh.reading = reading
                 self.gossip.announce_state()
             self.mesh.in_flight = self.forwarder.in_flight
-            boxes = max(self.mesh.most_boxes, _MIN_BOXES)
+            boxes = max(self.mesh.max_boxes, _MIN_BOXES)
             self.probes.boxes = boxes
             self.forwarder.set_boxes(boxes)
             await asyncio.sleep(_MAINTENANCE_INTERVAL_S)
@@ -388,7 +388,7 @@
             window=settings.retry_window,
             clock=self._loop.time,
         )
-        share.boxes = max(self.mesh.most_boxes, _MIN_BOXES)
+        share.boxes = max(self.mesh.max_boxes, _MIN_BOXES)
         return share
 
     def _probe_path(self, service: str) -> str:
@@ -405,7 +405,7 @@
         self.forwarder.keep_only({kind.name for kind in table.kinds})
         max_connections = min((s.connections for s in table.services.values()), default=256)
         self._target_client.set_most(
-            max(4, max_connections // max(self.mesh.most_boxes, _MIN_BOXES))
+            max(4, max_connections // max(self.mesh.max_boxes, _MIN_BOXES))
         )
 
     def _apply_target_rows(self, rows: list[TableRow]) -> None:
--- a/dunlinnotch/daemon/gossip.py
+++ b/dunlinnotch/daemon/gossip.py
@@ -113,7 +113,7 @@
         """Send a heartbeat at regular intervals."""
         while True:
             self._send_heartbeats()
-            self._mesh.note_silent()
+            self._mesh.log_silent()
             await asyncio.sleep(HEARTBEAT_INTERVAL_S * (0.9 + 0.2 * self._rng.random()))
 
     async def sync_with_peers(self) -> None:
@@ -132,14 +132,14 @@
 
     def request_updates(self) -> None:
         """Ask a few peers for their heartbeats, which show within a round trip what changed."""
-        peers = self._mesh.to_tell()
+        peers = self._mesh.heartbeat_peers()
         self._request_heartbeats(
             self._rng.sample(peers, min(_MAX_PEERS_ASKED_AFTER_PAUSE, len(peers)))
         )
 
     def announce_state(self) -> None:
         """Send a heartbeat at once, because the state of this box changed."""
-        self._announce(self._mesh.to_tell())
+        self._announce(self._mesh.heartbeat_peers())
 
     def announce_read(self, changed: bool) -> None:
         """Send a heartbeat at once, because this box read the store.
@@ -150,22 +150,22 @@
             Whether the read changed the table.
         """
         if changed:
-            self._announce(self._mesh.to_tell_news())
-        elif self._mesh.is_first():
+            self._announce(self._mesh.update_peers())
+        elif self._mesh.is_follower():
             # Confirms to the other boxes of the place that their tables are current, so that
             # they need not read the store themselves.
-            self._gossip_port.send([self._mesh.own_heartbeat()], self._mesh.to_tell())
+            self._gossip_port.send([self._mesh.own_heartbeat()], self._mesh.heartbeat_peers())
 
     def send_crash_reports(self, reports: Iterable[CrashReport], to: Iterable[Address]) -> None:
         """Send reports of targets that crashed while serving a request."""
         self._gossip_port.send(reports, to)
 
     def _send_heartbeats(self) -> None:
-        known = {heartbeat.peer for heartbeat in self._mesh.others()}
+        known = {heartbeat.peer for heartbeat in self._mesh.heartbeats()}
         unknown = [seed for seed in self._seeds() if seed not in known]
         if unknown:
             self._request_heartbeats(unknown)
-        self._announce(self._mesh.to_tell())
+        self._announce(self._mesh.heartbeat_peers())
 
     def _request_heartbeats(self, peers: Sequence[Address]) -> None:
         self._gossip_port.send([self._mesh.own_heartbeat(reply_requested=True)], peers)
@@ -179,7 +179,7 @@
         """
         heartbeat = self._mesh.own_heartbeat()
         self._gossip_port.send([heartbeat], peers)
-        self._gossip_port.send([heartbeat, *self._mesh.follower()], self._mesh.to_tell_far())
+        self._gossip_port.send([heartbeat, *self._mesh.local_follower()], self._mesh.remote_peers())
 
     def _introduce(self, heartbeat: Heartbeat) -> None:
         """Reply to a request for heartbeats with those of the peers that the sender needs."""
@@ -190,28 +190,28 @@
         return [seed for seed in self._configured_seeds() if seed != self._mesh.peer]
 
     def _on_heartbeat(self, heartbeat: Heartbeat) -> None:
-        new = not self._mesh.knows(heartbeat.name)
-        if not self._mesh.take(heartbeat):
+        new = not self._mesh.is_known(heartbeat.name)
+        if not self._mesh.receive(heartbeat):
             # The sender learns that peers know a later start of it and ignore this one.
-            later = self._mesh.later_start(heartbeat)
+            later = self._mesh.newer_incarnation(heartbeat)
             if later is not None:
                 self._gossip_port.send([later], [heartbeat.peer])
             return
         if self._crash_gossip is not None:
-            self._crash_gossip.heard(heartbeat)
+            self._crash_gossip.compare_digest(heartbeat)
         if heartbeat.reply_requested:
             self._introduce(heartbeat)
         elif new:
             # The sender may not know this box yet either.
             self._gossip_port.send([self._mesh.own_heartbeat()], [heartbeat.peer])
-        for table in self._mesh.newer(heartbeat):
+        for table in self._mesh.newer_tables(heartbeat):
             if table not in self._fetching:
                 self._fetching.add(table)
                 self._spawn(self._fetch(table, heartbeat.peer))
 
     def _on_crash_report(self, report: CrashReport) -> None:
         if self._crash_gossip is not None:
-            self._crash_gossip.take(report)
+            self._crash_gossip.receive(report)
 
     async def _fetch(self, table: str, peer: Address) -> None:
         """Fetch from a peer the changes of a table since the local version, and apply them."""
@@ -229,7 +229,7 @@
             self._fetching.discard(table)
         if age_ms >= 0 and replica.apply(delta, at=sent_at - age_ms / 1000):
             event(_log, "table-fetched", table=table, peer=peer, version=delta.version)
-            self._gossip_port.send([self._mesh.own_heartbeat()], self._mesh.to_tell_news())
+            self._gossip_port.send([self._mesh.own_heartbeat()], self._mesh.update_peers())
             for follower in self._followers:
                 follower.restart_if_behind()
 
--- a/dunlinnotch/platform/dialect.py
+++ b/dunlinnotch/platform/dialect.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from dunlinnotch.protocol.http import TURNED_AWAY, end_to_end, rest_asked
+from dunlinnotch.protocol.http import BACKOFF_STATUSES, end_to_end, requested_backoff
 from dunlinnotch.protocol.relay import CallerRequest, Verdict
 from dunlinnotch.state.heads import Header
 from dunlinnotch.state.target_status import TargetReport, TargetStatus
@@ -67,11 +67,11 @@
     """Translate requests to workers and their answers."""
 
     def request_headers(
-        self, request: CallerRequest, *, left: float, instance: str
+        self, request: CallerRequest, *, remaining: float, instance: str
     ) -> Sequence[Header]:
-        """Return the headers of a forwarded request that has ``left`` seconds to run."""
+        """Return the headers of a forwarded request that has ``remaining`` seconds to run."""
         headers = list(end_to_end(request.headers, _SET_BY_BOX))
-        headers.append(Header(DEADLINE, str(max(1, int(left * 1000)))))
+        headers.append(Header(DEADLINE, str(max(1, int(remaining * 1000)))))
         headers.append(Header(EXPECT_INSTANCE, instance))
         return headers
 
@@ -107,7 +107,7 @@
     def status(self, head: AnswerHead) -> TargetStatus:
         """Return the load, back-off and leaving state that a worker reports in an answer."""
         leaving = find(head.headers, LEAVING.lower()) == "1"
-        backoff = rest_asked(head.status, find(head.headers, RETRY_AFTER.lower()))
+        backoff = requested_backoff(head.status, find(head.headers, RETRY_AFTER.lower()))
         return TargetStatus(_report(head), backoff, leaving)
 
     def probe_headers(self, address: str) -> Sequence[Header]:
@@ -129,7 +129,7 @@
         """Return whether a worker refused a health check because of overload."""
         # Answers to requests carry the id of the request.
         answers_request = find(head.headers, REQUEST_ID.lower()) is not None
-        return head.status in TURNED_AWAY and not answers_request
+        return head.status in BACKOFF_STATUSES and not answers_request
 
 
 def _is_integer(text: str) -> bool:
--- a/dunlinnotch/platform/endpoints.py
+++ b/dunlinnotch/platform/endpoints.py
@@ -44,7 +44,7 @@
             exchange.reply(404, (), b"")
             return
         place = parse_qs(query).get("zone", [""])[0]
-        addresses = self._box.mesh.offered(place)[:_MAX_ADDRESSES]
+        addresses = self._box.mesh.offered_addresses(place)[:_MAX_ADDRESSES]
         if not addresses or self._box.pause_detector.catching_up:
             exchange.reply(503, (Header("Retry-After", "0.2"),), b"")
             return
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -309,8 +309,8 @@
     return not run.reply.begun and run.body.resendable and not run.may_have_run
 
 
-def _more_time(self, request, *, left, instance):
-    return _REQUEST_HEADERS(self, request, left=left + 3.0, instance=instance)
+def _more_time(self, request, *, remaining, instance):
+    return _REQUEST_HEADERS(self, request, remaining=remaining + 3.0, instance=instance)
 
 
 _REQUEST_HEADERS = WorkerDialect.request_headers
@@ -440,7 +440,7 @@
         property(_ready_while_stopping),
         ENTRY,
     ),
-    Mutant("all follow what nobody can read", Mesh, "is_first", _all_are_first, LINKS),
+    Mutant("all follow what nobody can read", Mesh, "is_follower", _all_are_first, LINKS),
     Mutant("retry a loan after it was sent", Router, "_may_retry", _retry_anything),
     Mutant("say not run of a broken attempt", Router, "_failure_result", _say_not_run),
     Mutant(
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -456,7 +456,7 @@
             await until(lambda: world.ran == ["held"])
             idle_reader, idle_writer = await connect(leaving)
             leaving.request_stop()
-            await until(lambda: leaving.caller not in other.mesh.offered("hall-a"))
+            await until(lambda: leaving.caller not in other.mesh.offered_addresses("hall-a"))
             assert not leaving.ready
             await until(lambda: leaving.refusing)
             idle_writer.write(head("/read/", "late"))
--- a/tests/test_following.py
+++ b/tests/test_following.py
@@ -186,12 +186,12 @@
     async def test(source, table, follower, versions):
         mesh = follower._mesh
         for number in range(19):
-            mesh.take(replace(mesh.own_heartbeat(), name=f"b-{number}", reading=False))
+            mesh.receive(replace(mesh.own_heartbeat(), name=f"b-{number}", reading=False))
         mesh.reading = False
         follower._failures = 9
-        mesh.is_first = lambda: False
+        mesh.is_follower = lambda: False
         assert follower._retry_delay() == pytest.approx(0.4 * 20)
-        mesh.is_first = lambda: True
+        mesh.is_follower = lambda: True
         assert follower._retry_delay() == pytest.approx(0.8)
 
     follow(test)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -100,7 +100,7 @@
 
 def test_target_in_backoff_gets_no_call_and_no_probe(pool, clock):
     backing_off, other = pool.records()
-    pool.record_report(backing_off, LoadReport(in_flight=0, rest=3.0))
+    pool.record_report(backing_off, LoadReport(in_flight=0, backoff=3.0))
     granted, waiting = enter_until_one_waits(pool)
     assert {call.grant.choice.target.address for call in granted} == {other.address}
     assert pool.choose_retry(exclude=[other.address], kind="a", idempotent=True) is None
@@ -113,7 +113,7 @@
 
 def test_restart_of_a_target_ends_its_backoff(pool, clock):
     backing_off, _ = pool.records()
-    pool.record_report(backing_off, LoadReport(incarnation="1", rest=3.0))
+    pool.record_report(backing_off, LoadReport(incarnation="1", backoff=3.0))
     assert backing_off.refuses_work(clock())
     pool.record_report(backing_off, LoadReport(incarnation="2"))
     assert not backing_off.refuses_work(clock())
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -180,7 +180,7 @@
 
 
 def test_forwarded_request_has_the_remaining_time_and_the_expected_target():
-    headers = WorkerDialect().request_headers(REQUEST, left=1.25, instance="i-1")
+    headers = WorkerDialect().request_headers(REQUEST, remaining=1.25, instance="i-1")
     assert headers == [
         Header("Host", "h"),
         Header("Attempt-Id", "id-1"),
