--- a/dunlinnotch/coordination/choosing/selector.py
+++ b/dunlinnotch/coordination/choosing/selector.py
@@ -101,7 +101,7 @@
         max_ratio: float = math.inf,
         max_ratio_late: float = math.inf,
     ) -> Selection | None:
-        """Return a target for one request, or None if there is none in time.
+        """Return a target for one request, or None if none becomes available in time.
 
         Parameters
         ----------
@@ -151,7 +151,7 @@
 
     def record_status(self, instance: Instance, status: TargetStatus) -> None:
         """Record the status that came with a target's answer, and offer the target to the queue."""
-        self._apply_requests(instance, status)
+        self._apply_notices(instance, status)
         if status.report is None or instance.replaced:
             return
         instance.heard(status.report, self._loop.time())
@@ -339,7 +339,7 @@
         """Record the result of a probe; return whether the target may be used."""
         status = probe_result.status or TargetStatus()
         if probe_result.instance is None:
-            self._apply_requests(instance, status)
+            self._apply_notices(instance, status)
             self._chooser.record_failure(instance, self._loop.time())
             return False
         if probe_result.instance != instance.name:
@@ -355,14 +355,14 @@
                 )
             return False
         instance.well = probe_result.well
-        self._apply_requests(instance, status)
-        # A target that reports no load counts with this box's own requests there.
+        self._apply_notices(instance, status)
+        # For a target that reports no load, only this box's own requests are known.
         estimate = TargetReport(instance.own, 0, max(1, instance.listed.slots))
         instance.heard(status.report or estimate, self._loop.time())
         return not instance.replaced
 
-    def _apply_requests(self, instance: Instance, status: TargetStatus) -> None:
-        """Apply a target's request for back-off, and its notice that it is leaving."""
+    def _apply_notices(self, instance: Instance, status: TargetStatus) -> None:
+        """Apply what a target announces: back-off for a while, or that it is leaving."""
         if status.rest:
             self._apply_backoff(instance, status.rest)
         if status.leaving and self._instances.leave_for_good(instance.name):
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -19,10 +19,10 @@
 def grant_calls(queue, count):
     """Grant ``count`` calls and return their kinds."""
     kinds = []
-    for time in range(count):
-        call_granted = queue.peek()
-        queue.grant(call_granted, None, float(time))
-        kinds.append(call_granted.kind)
+    for grant_time in range(count):
+        first = queue.peek()
+        queue.grant(first, None, float(grant_time))
+        kinds.append(first.kind)
     return kinds
 
 
