--- a/dunlinnotch/coordination/choosing/selector.py
+++ b/dunlinnotch/coordination/choosing/selector.py
@@ -101,7 +101,7 @@
         max_ratio: float = math.inf,
         max_ratio_late: float = math.inf,
     ) -> Selection | None:
-        """Return a target for one request, or None if there is none in time.
+        """Return a target for one request, or None if none becomes available in time.
 
         Parameters
         ----------
@@ -151,7 +151,7 @@
 
     def record_status(self, instance: Instance, status: TargetStatus) -> None:
         """Record the status that came with a target's answer, and offer the target to the queue."""
-        self._apply_requests(instance, status)
+        self._apply_notices(instance, status)
         if status.report is None or instance.removed:
             return
         instance.record_report(status.report, self._loop.time())
@@ -347,7 +347,7 @@
         """Record the result of a probe; return whether the target may be used."""
         status = probe_result.status or TargetStatus()
         if probe_result.instance is None:
-            self._apply_requests(instance, status)
+            self._apply_notices(instance, status)
             self._chooser.record_failure(instance, self._loop.time())
             return False
         if probe_result.instance != instance.name:
@@ -363,14 +363,14 @@
                 )
             return False
         instance.healthy = probe_result.healthy
-        self._apply_requests(instance, status)
-        # A target that reports no load counts with this box's own requests there.
+        self._apply_notices(instance, status)
+        # For a target that reports no load, only this box's own requests are known.
         estimate = TargetReport(instance.in_flight, 0, max(1, instance.listed.slots))
         instance.record_report(status.report or estimate, self._loop.time())
         return not instance.removed
 
-    def _apply_requests(self, instance: Instance, status: TargetStatus) -> None:
-        """Apply a target's request for back-off, and its notice that it is leaving."""
+    def _apply_notices(self, instance: Instance, status: TargetStatus) -> None:
+        """Apply what a target announces: back-off for a while, or that it is leaving."""
         if status.backoff:
             self._apply_backoff(instance, status.backoff)
         if status.leaving and self._instances.retire(instance.name):
