--- a/dunlinnotch/state/table_replica.py
+++ b/dunlinnotch/state/table_replica.py
@@ -1,4 +1,4 @@
-"""A table of the platform's store as a box knows it, complete up to a version."""
+"""Replica of a table of the store, complete up to a version."""
 
 from __future__ import annotations
 
@@ -10,15 +10,22 @@
 
     from dunlinnotch.types import Seconds
 
-#: Rows remembered as gone, so that others can be told what went.
+#: Removed rows that are remembered, so that deltas can include the removals.
 MAX_TOMBSTONES = 2000
 
 
 class TableRow(NamedTuple):
-    """One row; ``value`` is None if it is gone.
+    """One row of a table.
 
-    ``lost`` tells that nobody removed it: the store came back from a copy without it, and
-    whoever wrote it may write it again.
+    Parameters
+    ----------
+    key : str
+    version : int
+    value : bytes or None
+        None if the row was removed.
+    lost : bool, default False
+        Whether the row disappeared because the store was restored from a backup that
+        lacks it.  Its writer may write it again.
     """
 
     key: str
@@ -29,23 +36,23 @@
 
 @dataclass(frozen=True, slots=True)
 class TableDelta:
-    """What changed in a table after a version.
+    """Changes of a table after a version, or a full snapshot.
 
     Parameters
     ----------
     table : str
     version : int
-        The table is known completely up to here.
+        Version up to which the delta is complete.
     is_snapshot : bool
-        Whether ``rows`` are all rows that there are.
+        Whether ``rows`` are all rows of the table.
     rows : tuple of TableRow
     changed : int, default 0
-        No row changed between here and ``version``, as far as a peer told; 0 if
-        a store told.
+        Version from which to ``version`` no row changed, if the delta is from a peer; 0
+        if it is from the store.
     epoch : int, optional
-        Rises each time the store comes back from a copy; versions of different epochs
-        can't be compared, since those after the copy are given out again.  ``None``
-        where a store does not tell it.
+        Number that rises each time the store is restored from a backup.  Versions of
+        different epochs can't be compared, since a restored store assigns the versions
+        after the backup again.  None if the store does not report it.
     """
 
     table: str
@@ -57,25 +64,25 @@
 
 
 class TableReplica:
-    """Rows of one table, which only ever move to a higher version or a later epoch.
+    """Replica of one table, which only moves to a higher version or a later epoch.
 
     Parameters
     ----------
     name : str
     on_change : callable
-        Called with the rows that changed, gone ones included.
+        Called with the rows that changed, removed ones included.
 
     Attributes
     ----------
     epoch : int
-        The epoch of the store to which the versions belong.
+        Epoch of the store to which the versions belong.
     version : int
-        The table is known completely up to here; 0 before anything is known.
+        Version up to which the replica is complete; 0 before the first read.
     changed : int
-        No row changed between here and ``version``.  The store counts versions over
-        all its tables, so ``version`` moves on where nothing changed.
+        Version from which to ``version`` no row changed.  The store counts versions over
+        all its tables, so ``version`` also rises when no row of this table changed.
     verified_at : float or None
-        Monotonic seconds at which this was all that the store held.
+        Latest time, in monotonic seconds, at which the store held nothing newer.
     """
 
     def __init__(self, name: str, on_change: Callable[[list[TableRow]], None]) -> None:
@@ -86,42 +93,43 @@
         self.verified_at: Seconds | None = None
         self._on_change = on_change
         self._rows: dict[str, TableRow] = {}
-        self._gone: dict[str, TableRow] = {}
-        self._gone_floor = 0
+        self._tombstones: dict[str, TableRow] = {}
+        self._tombstone_floor = 0
 
     @property
     def rows(self) -> list[TableRow]:
-        """Rows that there are."""
+        """All rows of the table."""
         return list(self._rows.values())
 
     @property
     def loaded(self) -> bool:
-        """Whether the table has been read, directly or through a peer."""
+        """Whether the table has been read, from the store or from a peer."""
         return self.verified_at is not None
 
     def verify(self, at: Seconds) -> None:
-        """Note that the store held no more than this at ``at``."""
+        """Record that the store held nothing newer than the replica at the time ``at``."""
         self.verified_at = at if self.verified_at is None else max(self.verified_at, at)
 
     def confirm(self, changed: int, version: int, *, at: Seconds, epoch: int = 0) -> bool:
-        """Take over how far a peer knows the table, if it holds the same rows.
+        """Advance the version to that of a peer's replica if the rows are the same.
 
         Parameters
         ----------
         changed, version, epoch : int
-            The peer's.
+            State of the peer's replica.
         at : float
-            Monotonic seconds at which the store held no more than the peer knew.
+            Time, in monotonic seconds, at which the store held nothing newer than the
+            peer's replica.
 
         Returns
         -------
         bool
-            False if the peer knows of a change that is not known here.
+            False if the peer has a change that this replica lacks.
 
         Notes
         -----
-        Both tables stood still from ``changed`` to ``version``; where these spans
-        meet, they held the same rows.
+        Neither replica changed between its ``changed`` and its ``version``.  Where these
+        ranges overlap, both hold the same rows.
         """
         if not self.loaded or (epoch, changed) > (self.epoch, self.version):
             return False
@@ -132,14 +140,20 @@
         return True
 
     def apply(self, delta: TableDelta, *, at: Seconds) -> bool:
-        """Take in what a store or peer says was so at ``at``.
+        """Apply a delta from the store or a peer.
+
+        Parameters
+        ----------
+        delta : TableDelta
+        at : float
+            Time, in monotonic seconds, at which the delta was current.
 
         Returns
         -------
         bool
-            Whether anything changed.  A delta that is older than what is
-            known changes nothing, nor do changes alone from a later epoch: they leave out
-            what was written anew below their version.
+            Whether anything changed.  An outdated delta changes nothing, and neither does
+            a delta of a later epoch that is no snapshot: it lacks the rows that the
+            restored store wrote below its version.
         """
         epoch = self.epoch if delta.epoch is None else delta.epoch
         later_epoch = self.loaded and epoch > self.epoch
@@ -152,8 +166,8 @@
         if delta.is_snapshot:
             changed = self._replace(delta, lost=later_epoch)
         else:
-            changed = [row for row in delta.rows if self._take_row(row)]
-        self._move_on(delta, epoch)
+            changed = [row for row in delta.rows if self._apply_row(row)]
+        self._advance(delta, epoch)
         if later_epoch:
             self.verified_at = at
         self.verify(at)
@@ -162,60 +176,61 @@
         return later_epoch or bool(changed)
 
     def _replace(self, delta: TableDelta, *, lost: bool) -> list[TableRow]:
-        """Take over all rows that there are; return what differs from before."""
+        """Replace all rows by those of a snapshot; return the rows that differ."""
         before = dict(self._rows)
-        present = {row.key: row for row in delta.rows}
+        rows = {row.key: row for row in delta.rows}
         if lost:
-            self._gone.clear()
-        missing = before.keys() - present.keys()
-        changed = [self._remove(key, delta.version)._replace(lost=lost) for key in missing]
-        for key, row in present.items():
-            self._gone.pop(key, None)
+            self._tombstones.clear()
+        removed = before.keys() - rows.keys()
+        changed = [self._remove(key, delta.version)._replace(lost=lost) for key in removed]
+        for key, row in rows.items():
+            self._tombstones.pop(key, None)
             self._rows[key] = row
-        # Rows may have come and gone unseen, so nobody is told of changes before this.
-        self._gone_floor = delta.version if lost else max(self._gone_floor, delta.version)
-        return changed + [row for key, row in present.items() if before.get(key) != row]
+        # Rows may have been added and removed between the two snapshots, so changes
+        # before this version are unknown.
+        self._tombstone_floor = delta.version if lost else max(self._tombstone_floor, delta.version)
+        return changed + [row for key, row in rows.items() if before.get(key) != row]
 
-    def _move_on(self, delta: TableDelta, epoch: int) -> None:
-        """Note up to where the table is known, and since when it stands still."""
+    def _advance(self, delta: TableDelta, epoch: int) -> None:
+        """Update ``epoch``, ``version`` and ``changed`` after a delta."""
         before = self.changed if epoch == self.epoch else 0
         if delta.is_snapshot and not delta.changed:
-            # Rows may have gone unseen at any version up to this one.
+            # A snapshot does not show at which versions rows were removed.
             self.changed = delta.version
         else:
             self.changed = max(before, delta.changed, *(row.version for row in delta.rows), 0)
         self.epoch, self.version = epoch, delta.version
 
     def delta_since(self, version: int, epoch: int = 0) -> TableDelta:
-        """Return what changed after a version; everything if that is not known."""
-        if epoch != self.epoch or version < self._gone_floor or version <= 0:
+        """Return the changes after a version; a snapshot if they are no longer known."""
+        if epoch != self.epoch or version < self._tombstone_floor or version <= 0:
             rows = list(self._rows.values())
             return TableDelta(self.name, self.version, True, tuple(rows), self.changed, self.epoch)
         rows = [row for row in self._rows.values() if row.version > version]
-        rows += [row for row in self._gone.values() if row.version > version]
+        rows += [row for row in self._tombstones.values() if row.version > version]
         rows.sort(key=_by_version)
         return TableDelta(self.name, self.version, False, tuple(rows), self.changed, self.epoch)
 
-    def _take_row(self, row: TableRow) -> bool:
-        known = self._rows.get(row.key) or self._gone.get(row.key)
-        if known is not None and known.version >= row.version:
+    def _apply_row(self, row: TableRow) -> bool:
+        existing = self._rows.get(row.key) or self._tombstones.get(row.key)
+        if existing is not None and existing.version >= row.version:
             return False
         if row.value is None:
-            had = row.key in self._rows
+            existed = row.key in self._rows
             self._remove(row.key, row.version)
-            return had
-        self._gone.pop(row.key, None)
+            return existed
+        self._tombstones.pop(row.key, None)
         self._rows[row.key] = row
         return True
 
     def _remove(self, key: str, version: int) -> TableRow:
         self._rows.pop(key, None)
-        gone = self._gone[key] = TableRow(key, version, None)
-        while len(self._gone) > MAX_TOMBSTONES:
-            oldest = min(self._gone.values(), key=_by_version)
-            self._gone_floor = max(self._gone_floor, oldest.version)
-            del self._gone[oldest.key]
-        return gone
+        tombstone = self._tombstones[key] = TableRow(key, version, None)
+        while len(self._tombstones) > MAX_TOMBSTONES:
+            oldest = min(self._tombstones.values(), key=_by_version)
+            self._tombstone_floor = max(self._tombstone_floor, oldest.version)
+            del self._tombstones[oldest.key]
+        return tombstone
 
 
 def _by_version(row: TableRow) -> int:
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -185,7 +185,7 @@
 
 
 def _since_without_floor(self, version, epoch=0):
-    self._gone_floor = 0
+    self._tombstone_floor = 0
     return _since(self, version, epoch)
 
 
--- a/tests/test_table_replica.py
+++ b/tests/test_table_replica.py
@@ -1,6 +1,6 @@
-"""Tables followed through stores and peers only move forward and lose nothing.
+"""Replicas updated from the store and from peers only move forward and miss no change.
 
-Versions are those of an epoch: a store that comes back from a copy gives them out again.
+A store that is restored from a backup starts a new epoch and assigns versions again.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 KEYS = st.sampled_from("abcde")
 
 
-class Following(RuleBasedStateMachine):
-    """A store, and boxes that learn of it late, twice, out of order and from each other."""
+class Replicas(RuleBasedStateMachine):
+    """A store and replicas that get deltas late, twice, out of order and from each other."""
 
     def __init__(self):
         super().__init__()
@@ -24,106 +24,106 @@
         self.moment = 0
         self.store: dict[str, TableRow] = {}
         self.history: list[TableRow] = []
-        self.copies = [(0, {}, [])]
+        self.backups = [(0, {}, [])]
         self.states = {(1, 0): {}}
         self.at = {0: (1, 0)}
-        self.late: list[TableDelta] = []
-        self.words: list[tuple[int, int, int, float]] = []
-        self.seen: list[dict[str, bytes]] = [{}, {}, {}]
+        self.delayed: list[TableDelta] = []
+        self.reports: list[tuple[int, int, int, float]] = []
+        self.notified: list[dict[str, bytes]] = [{}, {}, {}]
         self.boxes = [TableReplica("t", self._watcher(n)) for n in range(3)]
 
     def _watcher(self, number):
         def watch(rows):
             for row in rows:
                 if row.value is None:
-                    self.seen[number].pop(row.key, None)
+                    self.notified[number].pop(row.key, None)
                 else:
-                    self.seen[number][row.key] = row.value
+                    self.notified[number][row.key] = row.value
 
         return watch
 
-    @rule(key=KEYS, gone=st.booleans())
-    def write(self, key, gone):
+    @rule(key=KEYS, removed=st.booleans())
+    def write(self, key, removed):
         self.version += 1
-        row = TableRow(key, self.version, None if gone else f"{self.version}".encode())
-        if gone:
+        row = TableRow(key, self.version, None if removed else f"{self.version}".encode())
+        if removed:
             self.store.pop(key, None)
         else:
             self.store[key] = row
         self.history.append(row)
-        self._moved_on()
+        self._record_state()
 
     @rule()
     def write_another_table(self):
         """The store counts versions over all its tables."""
         self.version += 1
-        self._moved_on()
+        self._record_state()
 
-    def _moved_on(self):
+    def _record_state(self):
         self.moment += 1
         self.at[self.moment] = (self.epoch, self.version)
         self.states[self.at[self.moment]] = {k: r.value for k, r in self.store.items()}
 
     @rule()
-    def copy(self):
-        self.copies.append((self.version, dict(self.store), list(self.history)))
+    def back_up(self):
+        self.backups.append((self.version, dict(self.store), list(self.history)))
 
     @rule(data=st.data())
-    def come_back_from_copy(self, data):
-        version, store, history = data.draw(st.sampled_from(self.copies))
-        self.copies = [copy for copy in self.copies if copy[0] <= version]
+    def restore_backup(self, data):
+        version, store, history = data.draw(st.sampled_from(self.backups))
+        self.backups = [backup for backup in self.backups if backup[0] <= version]
         self.version, self.store, self.history = version, dict(store), list(history)
         self.epoch += 1
         for earlier in range(version):
             self.states.setdefault(
                 (self.epoch, earlier), self.states.get((self.epoch - 1, earlier))
             )
-        self._moved_on()
+        self._record_state()
 
-    def _feed(self, after):
+    def _changes(self, after):
         rows = tuple(row for row in self.history if row.version > after)
         return TableDelta("t", self.version, False, rows, epoch=self.epoch)
 
-    def _whole(self):
+    def _snapshot(self):
         return TableDelta("t", self.version, True, tuple(self.store.values()), epoch=self.epoch)
 
-    @rule(box=st.integers(0, 2), whole=st.booleans(), keep=st.booleans())
-    def read(self, box, whole, keep):
-        """Read the store; it has no changes after a version that it lacks."""
+    @rule(box=st.integers(0, 2), snapshot=st.booleans(), delay=st.booleans())
+    def read(self, box, snapshot, delay):
+        """Read the store, which has no changes after a version above its own."""
         table = self.boxes[box]
-        whole = whole or not table.loaded or table.version > self.version
-        delta = self._whole() if whole else self._feed(table.version)
-        if keep:
-            self.late.append(delta)
+        snapshot = snapshot or not table.loaded or table.version > self.version
+        delta = self._snapshot() if snapshot else self._changes(table.version)
+        if delay:
+            self.delayed.append(delta)
         else:
             table.apply(delta, at=float(self.moment))
 
     @rule(box=st.integers(0, 2), data=st.data())
-    def late_answer(self, box, data):
-        """An answer that was long on its way: only a whole one fits a box that moved on."""
-        whole = [delta for delta in self.late if delta.is_snapshot]
-        if whole:
-            self.boxes[box].apply(data.draw(st.sampled_from(whole)), at=0.0)
-
-    @rule(asker=st.integers(0, 2), teller=st.integers(0, 2))
-    def fetch(self, asker, teller):
-        if self.boxes[teller].loaded and asker != teller:
-            version = self.boxes[asker].version if self.boxes[asker].loaded else 0
-            known = self.boxes[teller]
-            delta = known.delta_since(version, self.boxes[asker].epoch)
-            self.boxes[asker].apply(delta, at=known.verified_at)
-
-    @rule(teller=st.integers(0, 2))
-    def speak(self, teller):
-        table = self.boxes[teller]
+    def apply_delayed(self, box, data):
+        """Apply a delayed snapshot; other delayed deltas do not fit a later version."""
+        snapshots = [delta for delta in self.delayed if delta.is_snapshot]
+        if snapshots:
+            self.boxes[box].apply(data.draw(st.sampled_from(snapshots)), at=0.0)
+
+    @rule(receiver=st.integers(0, 2), source=st.integers(0, 2))
+    def fetch(self, receiver, source):
+        if self.boxes[source].loaded and receiver != source:
+            version = self.boxes[receiver].version if self.boxes[receiver].loaded else 0
+            replica = self.boxes[source]
+            delta = replica.delta_since(version, self.boxes[receiver].epoch)
+            self.boxes[receiver].apply(delta, at=replica.verified_at)
+
+    @rule(source=st.integers(0, 2))
+    def report(self, source):
+        table = self.boxes[source]
         if table.loaded:
-            self.words.append((table.changed, table.version, table.epoch, table.verified_at))
+            self.reports.append((table.changed, table.version, table.epoch, table.verified_at))
 
     @rule(box=st.integers(0, 2), data=st.data())
-    def hear(self, box, data):
-        """A word that may have been long on its way."""
-        if self.words:
-            changed, version, epoch, at = data.draw(st.sampled_from(self.words))
+    def confirm(self, box, data):
+        """Confirm by a report that may have been delayed."""
+        if self.reports:
+            changed, version, epoch, at = data.draw(st.sampled_from(self.reports))
             table = self.boxes[box]
             same = table.confirm(changed, version, at=at, epoch=epoch)
             assert same or not table.loaded or (table.epoch, table.version) < (epoch, changed)
@@ -138,7 +138,7 @@
                 assert all(self.states[table.epoch, v] == now for v in spans)
 
     @invariant()
-    def what_is_known_is_what_the_store_held_when_it_was_verified(self):
+    def the_replica_holds_what_the_store_held_when_verified(self):
         for table in self.boxes:
             if table.loaded:
                 then = self.at[int(table.verified_at)]
@@ -146,36 +146,35 @@
                     assert self.states[table.epoch, table.version] == self.states[then]
 
     @invariant()
-    def each_box_knows_exactly_what_stood_at_its_version(self):
+    def each_replica_holds_exactly_the_rows_of_its_version(self):
         for number, table in enumerate(self.boxes):
             if table.loaded:
                 rows = {row.key: row.value for row in table.rows}
                 assert rows == self.states[table.epoch, table.version]
-                assert self.seen[number] == rows
+                assert self.notified[number] == rows
 
 
-TestFollowing = Following.TestCase
-TestFollowing.settings = settings(max_examples=500, stateful_step_count=40, derandomize=True)
+TestReplicas = Replicas.TestCase
+TestReplicas.settings = settings(max_examples=500, stateful_step_count=40, derandomize=True)
 
 
-def test_what_went_is_told_until_it_is_forgotten(monkeypatch):
+def test_removals_are_in_deltas_until_their_tombstones_are_dropped(monkeypatch):
     monkeypatch.setattr("dunlinnotch.state.table_replica.MAX_TOMBSTONES", 2)
     table = TableReplica("t", lambda _: None)
     rows = tuple(TableRow(f"k{n}", n, b"x") for n in range(1, 6))
     table.apply(TableDelta("t", 5, True, rows), at=1.0)
-    gone = tuple(TableRow(f"k{n}", n + 5, None) for n in range(1, 5))
-    table.apply(TableDelta("t", 9, False, gone), at=2.0)
+    removed = tuple(TableRow(f"k{n}", n + 5, None) for n in range(1, 5))
+    table.apply(TableDelta("t", 9, False, removed), at=2.0)
     assert not table.delta_since(8).is_snapshot
     assert [row.key for row in table.delta_since(8).rows] == ["k4"]
     assert table.delta_since(5).is_snapshot
     assert [row.key for row in table.delta_since(5).rows] == ["k5"]
 
 
-def test_what_went_before_a_whole_reading_is_not_passed_over():
-    """Found by the state machine: a box that read the table whole never heard of some rows.
+def test_removals_before_a_snapshot_reach_peers():
+    """A replica read as a snapshot does not know which rows were removed before it.
 
-    Asked by a peer that still holds such a row, it must tell all it has
-    rather than what it saw change.
+    It must send a peer that may still hold such a row a snapshot, not the changes it saw.
     """
     old, new = TableReplica("t", lambda _: None), TableReplica("t", lambda _: None)
     old.apply(TableDelta("t", 1, True, (TableRow("b", 1, b"x"),)), at=1.0)
@@ -184,7 +183,7 @@
     assert old.rows == []
 
 
-def test_an_old_delta_changes_nothing_and_proves_nothing_fresh():
+def test_an_outdated_delta_changes_neither_rows_nor_verified_at():
     table = TableReplica("t", lambda _: None)
     table.apply(TableDelta("t", 5, True, (TableRow("a", 5, b"new"),)), at=1.0)
     assert not table.apply(TableDelta("t", 4, True, (TableRow("a", 4, b"old"),)), at=9.0)
@@ -192,13 +191,8 @@
     assert table.verified_at == 1.0
 
 
-def test_a_version_that_only_moves_on_needs_no_fetch():
-    """ikenga-gate-grown trouble-1 --seed 531803079277: DRAIN.
-
-    Versions count over all tables, so each change of one table made every box
-    fetch an empty change of the other, and readers took calls that rightly
-    waited for hung ones.
-    """
+def test_a_higher_version_without_changes_needs_no_fetch():
+    """Versions count over all tables: a change of one must not cause fetches of another."""
     first, second = TableReplica("t", lambda _: None), TableReplica("t", lambda _: None)
     row = TableRow("a", 5, b"x")
     for table in (first, second):
@@ -212,27 +206,27 @@
     assert second.verified_at == 4.0
 
 
-def test_a_later_era_is_taken_over_whole_or_not_at_all():
-    told = []
-    table = TableReplica("t", told.extend)
+def test_a_later_epoch_is_applied_as_a_snapshot_only():
+    received = []
+    table = TableReplica("t", received.extend)
     rows = (TableRow("a", 3, b"a"), TableRow("b", 9, b"b"))
     table.apply(TableDelta("t", 9, True, rows, epoch=1), at=1.0)
-    told.clear()
+    received.clear()
     change = TableDelta("t", 12, False, (TableRow("c", 12, b"c"),), epoch=2)
     assert not table.apply(change, at=2.0)
     assert (table.epoch, table.version, table.verified_at) == (1, 9, 1.0)
     assert table.apply(TableDelta("t", 5, True, (TableRow("a", 3, b"a"),), epoch=2), at=3.0)
     assert (table.epoch, table.version, table.verified_at) == (2, 5, 3.0)
-    assert told == [TableRow("b", 5, None, lost=True)]
+    assert received == [TableRow("b", 5, None, lost=True)]
     assert not table.apply(TableDelta("t", 20, True, rows, epoch=1), at=4.0)
     assert table.rows == [TableRow("a", 3, b"a")]
 
 
-def test_a_peer_of_an_earlier_era_is_told_all():
+def test_a_peer_of_an_earlier_epoch_gets_a_snapshot():
     table = TableReplica("t", lambda _: None)
     table.apply(TableDelta("t", 5, True, (TableRow("a", 3, b"a"),), epoch=2), at=1.0)
     table.apply(TableDelta("t", 6, False, (TableRow("b", 6, b"b"),), epoch=2), at=1.0)
     assert not table.delta_since(5, epoch=2).is_snapshot
-    told = table.delta_since(40, epoch=1)
-    assert told.is_snapshot
-    assert (told.epoch, len(told.rows)) == (2, 2)
+    received = table.delta_since(40, epoch=1)
+    assert received.is_snapshot
+    assert (received.epoch, len(received.rows)) == (2, 2)
