--- a/dunlinnotch/state/instances.py
+++ b/dunlinnotch/state/instances.py
@@ -1,4 +1,4 @@
-"""Targets by instance: what the platform lists and what this box has seen of each."""
+"""Targets that may get new work, with their listed data and their state at this box."""
 
 from __future__ import annotations
 
@@ -11,36 +11,36 @@
     from dunlinnotch.state.target_status import TargetReport
     from dunlinnotch.types import Address, Seconds
 
-#: Ended instances remembered, so that a late word does not bring one back.
-_ENDED_KEPT = 4000
-#: Targets remembered that asked for rest, should their rows go and come back meanwhile.
-_RESTS_KEPT = 1000
-#: Above any sequence: a start that said it leaves never comes back.
+#: Removed instances that are remembered, so that an outdated row does not add one again.
+_MAX_REMOVED = 4000
+#: Back-offs that are remembered, in case a target's row is removed and added again.
+_MAX_BACKOFFS = 1000
+#: Above any sequence number, so that no later row of the same start is accepted.
 _NEVER = 1 << 62
 
-#: When a target started and how often it has spoken since: the larger one is newer.
-WordOrder = tuple[int, int]
+#: Start time and sequence number of a target's row; the larger one is newer.
+RowOrder = tuple[int, int]
 
 
 @dataclass(frozen=True, slots=True)
 class ListedTarget:
-    """What the platform's list says of one start of a target.
+    """Row of the platform's list of targets, for one start of a target.
 
     Parameters
     ----------
     instance : str
-        Names the target; it may start again under its name.
+        Name of the target, which may be the same after a restart.
     service, place : str
     address : str
     slots : int
     leaving : bool
     sequence : int
-        Grows with each word of one start of the target.
+        Number that rises with each row of one start.
     slow_start_s : float
-        Seconds for which it is still slow from its start.
+        Seconds for which the target is still warming up.
     born : int, default 0
-        Unix milliseconds of its start; 0 where the platform does not tell: there each
-        start has a name of its own.
+        Time of the start, in Unix milliseconds; 0 if the platform does not state it, in
+        which case each start has a name of its own.
     """
 
     instance: str
@@ -54,14 +54,43 @@
     born: int = 0
 
     @property
-    def order(self) -> WordOrder:
-        """Order of what is said under one name."""
+    def order(self) -> RowOrder:
+        """Order among the rows of one name; the larger one is newer."""
         return (self.born, self.sequence)
 
 
 @dataclass(slots=True, eq=False)
 class Instance:
-    """One target with what this box has seen of it."""
+    """One start of a target, with its state at this box.
+
+    Parameters
+    ----------
+    listed : ListedTarget
+    slow_start_until : float, default 0.0
+        End of its warm-up.
+    in_flight : int, default 0
+        Requests of this box in progress at the target.
+    sent_since_report : int, default 0
+    report : TargetReport, optional
+        Its last report.
+    reported_at, probed_at : float
+        Time of the last report, and of the last probe.
+    failures : int, default 0
+        Consecutive failures.
+    ejected_until, backoff_until : float, default 0.0
+        End of the outlier ejection, and of the back-off that the target requested.
+    removed : bool, default False
+        Whether it was removed from the list, for example replaced by a newer start.
+    missing_since : float, optional
+        Time at which its row disappeared, while it is entries as a last resort.
+    lost : bool, default False
+        Whether the row disappeared because the store lost it, not because it was removed.
+    healthy : bool, default True
+
+    Notes
+    -----
+    Times are in monotonic seconds.
+    """
 
     listed: ListedTarget
     slow_start_until: Seconds = 0.0
@@ -75,147 +104,145 @@
     backoff_until: Seconds = 0.0
     removed: bool = False
     missing_since: Seconds | None = None
-    #: Whether the store lost its row, rather than somebody removed it.
     lost: bool = False
     healthy: bool = True
 
     @property
     def name(self) -> str:
-        """The instance's own name."""
+        """Name of the target."""
         return self.listed.instance
 
     @property
     def start(self) -> str:
-        """Names this start of the target, and no other."""
+        """Name that is unique to this start of the target."""
         return f"{self.listed.instance}@{self.listed.born}" if self.listed.born else self.name
 
     @property
     def address(self) -> Address:
-        """Where it is reached."""
+        """Address of the target."""
         return self.listed.address
 
     @property
     def queued_ahead(self) -> int:
-        """Requests there, as far as this box knows: by its last report, and sent since."""
+        """Estimated requests at the target: those of its last report and those sent since."""
         report = self.report
-        known = self.in_flight if report is None else report.running + report.waiting
-        return known + self.sent_since_report
+        reported = self.in_flight if report is None else report.running + report.waiting
+        return reported + self.sent_since_report
 
     def record_report(self, report: TargetReport, now: Seconds) -> None:
-        """Take in what the target says of its load."""
+        """Record a load report of the target."""
         self.report = report
         self.reported_at = now
         self.sent_since_report = 0
 
 
 class InstanceList:
-    """The targets that may take new work, by service.
+    """Targets that may get new work, by service.
 
     Notes
     -----
-    Of each target only the newest start counts, by whichever way older ones are heard of.
-    Leaving is for good: a start that was leaving or gone does not come back by a word that
-    is older than what is known of it.
+    Only the newest start of each target is listed, in whatever order rows arrive.  A start
+    that was leaving or removed is not added again by an outdated row.
     """
 
     def __init__(self) -> None:
         self._instances: dict[str, Instance] = {}
-        self._ended: dict[str, WordOrder] = {}
-        self._rests: dict[str, Seconds] = {}
+        self._removed: dict[str, RowOrder] = {}
+        self._backoffs: dict[str, Seconds] = {}
         self._by_service: dict[str, list[Instance]] = {}
 
     def apply(self, listed: ListedTarget, now: Seconds) -> bool:
-        """Take in one row of the list; return whether it changed anything."""
-        known = self._instances.get(listed.instance)
-        if listed.order < self._ended.get(listed.instance, (-1, -1)):
+        """Apply one row of the platform's list; return whether it changed anything."""
+        existing = self._instances.get(listed.instance)
+        if listed.order < self._removed.get(listed.instance, (-1, -1)):
             return False
-        if known is not None and listed.order < known.listed.order:
+        if existing is not None and listed.order < existing.listed.order:
             return False
         if listed.leaving:
-            return self._take_leaving(listed)
-        if known is None or known.listed.born < listed.born:
-            self._begin(listed, now)
+            return self._retire(listed)
+        if existing is None or existing.listed.born < listed.born:
+            self._add(listed, now)
         else:
-            known.listed = listed
-            known.missing_since = None
-            known.lost = False
-            known.slow_start_until = now + listed.slow_start_s
+            existing.listed = listed
+            existing.missing_since = None
+            existing.lost = False
+            existing.slow_start_until = now + listed.slow_start_s
         self._index()
         return True
 
     def remove(self, instance: str) -> bool:
-        """Give a target no new work until a newer word; return whether it could get any.
+        """Remove a target until a newer row of it arrives; return whether it was listed.
 
         Parameters
         ----------
         instance : str
         """
-        return self._drop(instance, next_word=True)
+        return self._remove(instance, needs_newer=True)
 
     def retire(self, instance: str) -> bool:
-        """Give a target no new work until it has started again; return whether it could get any.
+        """Remove a target until it has restarted; return whether it was listed.
 
         Parameters
         ----------
         instance : str
         """
-        known = self._instances.get(instance)
-        return known is not None and self._take_leaving(known.listed)
+        existing = self._instances.get(instance)
+        return existing is not None and self._retire(existing.listed)
 
     def suspend(self, instance: str) -> bool:
-        """Give a target no new work until its last word, or a newer one, is heard again.
+        """Remove a target until its last row or a newer one arrives; return whether listed.
 
         Parameters
         ----------
         instance : str
         """
-        return self._drop(instance, next_word=False)
+        return self._remove(instance, needs_newer=False)
 
     def back_off(self, instance: Instance, until: Seconds) -> None:
-        """Have a target rest until a moment, also if its row goes and comes back meanwhile.
+        """Send no work to a target until a given time, also if its row is added again.
 
         Parameters
         ----------
         instance : Instance
         until : float
-            Monotonic seconds; a rest granted before is not made shorter.
+            Monotonic seconds; does not shorten an earlier back-off.
         """
         instance.backoff_until = max(instance.backoff_until, until)
-        self._rests[instance.start] = instance.backoff_until
-        _keep_newest(self._rests, _RESTS_KEPT)
+        self._backoffs[instance.start] = instance.backoff_until
+        _drop_oldest(self._backoffs, _MAX_BACKOFFS)
 
     def backoff_left(self, service: str, now: Seconds) -> Seconds:
-        """Return for how long all targets of a service still rest; 0 if one does not."""
+        """Return the seconds until the first target of a service may get work again."""
         return max(
             0.0, min((i.backoff_until for i in self.for_service(service)), default=0.0) - now
         )
 
-    def _begin(self, listed: ListedTarget, now: Seconds) -> None:
-        """Use a start of a target that is new here; it has nothing of the one before."""
+    def _add(self, listed: ListedTarget, now: Seconds) -> None:
+        """Add a start of a target, without any state of the previous start."""
         before = self._instances.get(listed.instance)
         if before is not None:
             before.removed = True
-        begun = Instance(listed, slow_start_until=now + listed.slow_start_s)
-        begun.backoff_until = self._rests.get(begun.start, 0.0)
-        self._instances[listed.instance] = begun
-        self._ended.pop(listed.instance, None)
-
-    def _take_leaving(self, listed: ListedTarget) -> bool:
-        known = self._instances.pop(listed.instance, None)
-        self._end(listed.instance, (listed.born, _NEVER))
-        if known is None:
+        added = Instance(listed, slow_start_until=now + listed.slow_start_s)
+        added.backoff_until = self._backoffs.get(added.start, 0.0)
+        self._instances[listed.instance] = added
+        self._removed.pop(listed.instance, None)
+
+    def _retire(self, listed: ListedTarget) -> bool:
+        existing = self._instances.pop(listed.instance, None)
+        self._record_removal(listed.instance, (listed.born, _NEVER))
+        if existing is None:
             return False
-        known.removed = True
+        existing.removed = True
         self._index()
         return True
 
-    def _drop(self, instance: str, *, next_word: bool) -> bool:
-        known = self._instances.pop(instance, None)
-        if known is None:
+    def _remove(self, instance: str, *, needs_newer: bool) -> bool:
+        existing = self._instances.pop(instance, None)
+        if existing is None:
             return False
-        born, sequence = known.listed.order
-        self._end(instance, (born, sequence + next_word))
-        known.removed = True
+        born, sequence = existing.listed.order
+        self._record_removal(instance, (born, sequence + needs_newer))
+        existing.removed = True
         self._index()
         return True
 
@@ -228,16 +255,16 @@
         return self._instances.values()
 
     def find(self, instance: str) -> Instance | None:
-        """Return one target, if it may take new work."""
+        """Return a target by name; None if it may not get new work."""
         return self._instances.get(instance)
 
     def addresses(self) -> set[Address]:
-        """Return where targets are reached."""
+        """Return the addresses of all targets."""
         return {instance.address for instance in self._instances.values()}
 
-    def _end(self, instance: str, order: WordOrder) -> None:
-        self._ended[instance] = max(order, self._ended.get(instance, order))
-        _keep_newest(self._ended, _ENDED_KEPT)
+    def _record_removal(self, instance: str, order: RowOrder) -> None:
+        self._removed[instance] = max(order, self._removed.get(instance, order))
+        _drop_oldest(self._removed, _MAX_REMOVED)
 
     def _index(self) -> None:
         services: dict[str, list[Instance]] = {}
@@ -246,7 +273,7 @@
         self._by_service = services
 
 
-def _keep_newest(kept: dict[str, Any], most: int) -> None:
-    """Drop what was added first, until so many are left."""
-    while len(kept) > most:
-        kept.pop(next(iter(kept)))
+def _drop_oldest(entries: dict[str, Any], limit: int) -> None:
+    """Drop the oldest entries above a limit."""
+    while len(entries) > limit:
+        entries.pop(next(iter(entries)))
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -354,7 +354,7 @@
     Mutant("set no target aside that refuses", FreshChooser, "refused", _blame_nobody, REST),
     Mutant("try any number of targets", Forwarder, "_may_repeat", _any_number_of_tries, ENTRY),
     Mutant("give targets three seconds more", WorkerDialect, "request_headers", _more_time, ENTRY),
-    Mutant("let no target leave", InstanceList, "_take_leaving", _leave_nothing, ENTRY),
+    Mutant("let no target leave", InstanceList, "_retire", _leave_nothing, ENTRY),
     Mutant(
         "tell a peer only what one saw",
         TableReplica,
--- a/tests/test_instances.py
+++ b/tests/test_instances.py
@@ -1,4 +1,4 @@
-"""A target that leaves does not come back by an old word."""
+"""A target that has left is not added again by an outdated row."""
 
 from __future__ import annotations
 
@@ -35,41 +35,41 @@
     assert instances.for_service("loans") == []
 
 
-def test_leaving_heard_first_keeps_a_late_ready_word_out():
+def test_a_leaving_row_that_arrives_first_outdates_the_rows_before_it():
     instances = InstanceList()
     instances.apply(listed(leaving=True, sequence=5), 1.0)
     assert not instances.apply(READY, 2.0)
 
 
-@pytest.mark.parametrize(("sequence", "back"), [(3, False), (4, False), (5, True)])
-def test_a_row_that_vanished_comes_back_by_a_newer_word_only(sequence, back):
+@pytest.mark.parametrize(("sequence", "added"), [(3, False), (4, False), (5, True)])
+def test_a_removed_target_is_added_again_by_a_newer_row_only(sequence, added):
     instances = InstanceList()
     instances.apply(READY, 0.0)
     instances.remove("i-1")
-    assert instances.apply(listed(sequence=sequence), 1.0) is back
-    assert bool(instances.for_service("loans")) is back
+    assert instances.apply(listed(sequence=sequence), 1.0) is added
+    assert bool(instances.for_service("loans")) is added
 
 
-def test_an_older_word_does_not_change_what_is_known():
+def test_an_outdated_row_changes_nothing():
     instances = InstanceList()
     instances.apply(READY, 0.0)
     assert not instances.apply(listed(sequence=3, slots=1), 1.0)
     assert instances.find("i-1").listed.slots == 3
 
 
-@pytest.mark.parametrize("left", ["said so", "went", "not at all"])
-def test_a_target_that_starts_again_under_its_name_is_used_again(left):
+@pytest.mark.parametrize("end", ["leaving", "removed", "none"])
+def test_a_target_that_restarts_under_its_name_is_used_again(end):
     instances = InstanceList()
     instances.apply(listed(born=1000, sequence=40), 0.0)
-    if left == "said so":
+    if end == "leaving":
         instances.apply(listed(born=1000, sequence=41, leaving=True), 1.0)
-    elif left == "went":
+    elif end == "removed":
         instances.remove("i-1")
     assert instances.apply(listed(born=2000, sequence=0), 2.0)
     assert [i.listed.sequence for i in instances.for_service("loans")] == [0]
 
 
-def test_a_start_knows_nothing_of_the_one_before():
+def test_a_new_start_has_no_state_of_the_previous_one():
     instances = InstanceList()
     instances.apply(listed(born=1000), 0.0)
     before = instances.find("i-1")
@@ -95,7 +95,7 @@
     assert instances.for_service("loans") == []
 
 
-def test_a_target_whose_entry_could_not_be_read_comes_back_by_the_same_word():
+def test_a_suspended_target_is_added_again_by_the_same_row():
     instances = InstanceList()
     instances.apply(READY, 0.0)
     assert instances.suspend("i-1")
@@ -105,63 +105,63 @@
 
 
 class Starts(RuleBasedStateMachine):
-    """Words of several starts of one target arrive in any order."""
+    """Rows of several starts of one target arrive in any order."""
 
     @initialize()
     def begin(self):
         self.instances = InstanceList()
         self.newest = (0, -1)
         self.left = set()
-        self.rests = {}
+        self.backoffs = {}
 
     @rule(born=st.integers(1, 4), sequence=st.integers(0, 5), leaving=st.booleans())
-    def hear(self, born, sequence, leaving):
+    def apply_row(self, born, sequence, leaving):
         self.instances.apply(listed(born=born, sequence=sequence, leaving=leaving), 0.0)
         if leaving and (born, sequence) >= self.newest:
             self.left.add(born)
         self.newest = max(self.newest, (born, sequence))
 
     @rule()
-    def goes(self):
+    def remove(self):
         self.instances.remove("i-1")
 
     @rule()
-    def says_that_it_leaves(self):
-        found = self.instances.find("i-1")
-        if found is not None:
+    def retire(self):
+        instance = self.instances.find("i-1")
+        if instance is not None:
             self.instances.retire("i-1")
-            self.left.add(found.listed.born)
+            self.left.add(instance.listed.born)
 
     @rule(until=st.floats(1.0, 9.0))
-    def asks_for_rest(self, until):
-        found = self.instances.find("i-1")
-        if found is not None:
-            self.instances.back_off(found, until)
-            born = found.listed.born
-            self.rests[born] = max(until, self.rests.get(born, 0.0))
+    def request_backoff(self, until):
+        instance = self.instances.find("i-1")
+        if instance is not None:
+            self.instances.back_off(instance, until)
+            born = instance.listed.born
+            self.backoffs[born] = max(until, self.backoffs.get(born, 0.0))
 
     @invariant()
-    def a_start_rests_for_as_long_as_it_asked_whatever_becomes_of_its_row(self):
-        found = self.instances.find("i-1") if hasattr(self, "instances") else None
-        if found is not None:
-            assert found.backoff_until == self.rests.get(found.listed.born, 0.0)
-            assert self.instances.backoff_left("loans", 0.0) == found.backoff_until
+    def a_start_backs_off_as_long_as_requested_whatever_happens_to_its_row(self):
+        instance = self.instances.find("i-1") if hasattr(self, "instances") else None
+        if instance is not None:
+            assert instance.backoff_until == self.backoffs.get(instance.listed.born, 0.0)
+            assert self.instances.backoff_left("loans", 0.0) == instance.backoff_until
 
     @invariant()
-    def only_the_newest_start_that_does_not_leave_is_used(self):
+    def only_the_newest_start_that_is_not_leaving_is_listed(self):
         if not hasattr(self, "instances"):
             return
-        found = self.instances.find("i-1")
-        if found is not None:
-            assert found.listed.born == self.newest[0]
-            assert found.listed.born not in self.left
-            assert not found.listed.leaving
+        instance = self.instances.find("i-1")
+        if instance is not None:
+            assert instance.listed.born == self.newest[0]
+            assert instance.listed.born not in self.left
+            assert not instance.listed.leaving
 
 
 TestStarts = Starts.TestCase
 
 
-def test_rest_is_kept_by_start_and_never_made_shorter():
+def test_a_backoff_belongs_to_a_start_and_is_never_shortened():
     instances = InstanceList()
     instances.apply(listed(born=1000), 0.0)
     instances.back_off(instances.find("i-1"), 30.0)
@@ -175,7 +175,7 @@
     assert instances.backoff_left("loans", 13.0) == 0.0
 
 
-def test_a_service_rests_as_long_as_none_of_its_targets_wants_anything():
+def test_a_service_backs_off_until_its_first_target_accepts_work():
     instances = InstanceList()
     assert instances.backoff_left("loans", 1.0) == 0.0
     instances.apply(listed(), 0.0)
@@ -187,7 +187,7 @@
 
 
 @pytest.mark.parametrize("sequence", [4, 5, 1000])
-def test_a_target_that_says_itself_that_it_leaves_does_not_come_back_by_its_row(sequence):
+def test_a_retired_target_is_not_added_again_by_a_row_of_the_same_start(sequence):
     instances = InstanceList()
     instances.apply(listed(born=1000), 0.0)
     before = instances.find("i-1")
