--- a/dunlinnotch/state/ledger.py
+++ b/dunlinnotch/state/ledger.py
@@ -1,8 +1,8 @@
-"""Once-keys that this box incarnation has seen, and what became of them.
+"""Ledger of the idempotency keys that this incarnation of the box has received.
 
-A once-key names the one box incarnation that may run it, so the memory of
-that process is enough: no store is written on the way of a call, and a box
-that died can't run a key again.  See ``docs/design/at-most-once.md``.
+An idempotency key names the only box incarnation that may run its request, so the
+ledger is held in memory: a request needs no write to a store, and a box that
+restarted can't run a key again.  See ``docs/design/at-most-once.md``.
 """
 
 from __future__ import annotations
@@ -18,14 +18,15 @@
     from dunlinnotch.state.heads import AnswerHead
     from dunlinnotch.types import Clock, Seconds
 
-#: Bytes of kept answers over which the oldest bodies are dropped.
+#: Limit of the answer bodies held; beyond it the oldest are dropped.
 MAX_STORED_BYTES = 16 * 1024 * 1024
-#: Keys remembered; over it new keys are refused, never old ones forgotten.
+#: Limit of the keys held.  Beyond it new keys are refused: dropping an old key could let
+#: its request run twice.
 MAX_KEYS = 200_000
 
 
 class KeyState(Enum):
-    """What is known of a once-key."""
+    """State of the request of an idempotency key."""
 
     RUNNING = auto()
     ANSWERED = auto()
@@ -33,7 +34,7 @@
 
 
 class ClaimStatus(Enum):
-    """What a caller that presents a key may do."""
+    """Result of a claim."""
 
     RUN = auto()
     KNOWN = auto()
@@ -43,13 +44,13 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredAnswer:
-    """A whole answer kept for callers that ask again.
+    """A complete answer, held for callers that retry the request.
 
     Parameters
     ----------
     head : AnswerHead
     body : bytes or None
-        ``None`` if it was too large or has been dropped.
+        None if it was too large or has been dropped.
     """
 
     head: AnswerHead
@@ -58,7 +59,16 @@
 
 @dataclass(slots=True, eq=False)
 class KeyEntry:
-    """One remembered key."""
+    """Entry of one idempotency key.
+
+    Parameters
+    ----------
+    key : str
+    claimed_at : float
+        Time of the claim, in monotonic seconds.
+    state : KeyState
+    answer : StoredAnswer, optional
+    """
 
     key: str
     claimed_at: Seconds
@@ -68,13 +78,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """The answer to a claim.
+    """Result of a claim, with the entry of its key.
 
     Parameters
     ----------
     status : ClaimStatus
     entry : KeyEntry or None
-        The entry for ``RUN`` and ``KNOWN``.
+        The entry if the status is ``RUN`` or ``KNOWN``.
     """
 
     status: ClaimStatus
@@ -82,28 +92,28 @@
 
 
 class IdempotencyLedger:
-    """Let each once-key run at most once in this process.
+    """Lets the request of each idempotency key run at most once in this process.
 
     Parameters
     ----------
     clock : callable
-        The same monotonic clock from which stems are minted.
+        The monotonic clock by which keys are issued.
     max_keys : int, default 200000
 
     Notes
     -----
-    Thread-safe.  A key is remembered until ``window`` seconds after it was
-    minted *and* claimed, and refused once it is older than ``window``, so it
-    can't be forgotten while it would still be accepted.
+    Thread-safe.  A key is held until ``window`` seconds after its claim and accepted only
+    until ``window`` seconds after it was issued, so it is never dropped while it would
+    still be accepted.
     """
 
     def __init__(self, *, clock: Clock, max_keys: int = MAX_KEYS) -> None:
         self._clock = clock
         self._keys_max = max_keys
         self._entries: OrderedDict[str, KeyEntry] = OrderedDict()
-        self._kept_bytes = 0
-        # Keys minted up to here may have been claimed, and forgotten since.
-        self._forgotten_before = -math.inf
+        self._stored_bytes = 0
+        # Keys issued up to this time may have been claimed and dropped.
+        self._dropped_before = -math.inf
         self._changed = threading.Condition()
 
     def __len__(self) -> int:
@@ -116,16 +126,23 @@
         ----------
         key : str
         issued_at : float
-            When its stem was made, by this ledger's clock.
+            Time at which the key was issued, by the clock of the ledger.
         window : float
             Seconds for which a key is valid.
+
+        Returns
+        -------
+        Claim
+            ``RUN`` if the request may run, ``KNOWN`` if the key was claimed before,
+            ``EXPIRED`` if it is too old or issued in the future, ``FULL`` if the ledger
+            can't hold another key.
         """
         with self._changed:
             now = self._clock()
             self._expire(now, window)
-            known = self._entries.get(key)
-            if known is not None:
-                return Claim(ClaimStatus.KNOWN, known)
+            existing = self._entries.get(key)
+            if existing is not None:
+                return Claim(ClaimStatus.KNOWN, existing)
             if now - issued_at > window or issued_at > now:
                 return Claim(ClaimStatus.EXPIRED)
             if len(self._entries) >= self._keys_max:
@@ -134,41 +151,48 @@
             return Claim(ClaimStatus.RUN, entry)
 
     def release(self, entry: KeyEntry) -> None:
-        """Forget a claim whose request positively did not run."""
+        """Drop the claim of a request that certainly did not run."""
         with self._changed:
             self._entries.pop(entry.key, None)
             entry.state = KeyState.UNKNOWN
             self._changed.notify_all()
 
     def record_answer(self, entry: KeyEntry, answer: StoredAnswer) -> None:
-        """Keep the whole answer of a request that ran."""
+        """Store the complete answer of a request that ran."""
         with self._changed:
             entry.state = KeyState.ANSWERED
             entry.answer = answer
-            self._kept_bytes += len(answer.body or b"")
+            self._stored_bytes += len(answer.body or b"")
             self._drop_bodies()
             self._changed.notify_all()
 
     def record_unknown(self, entry: KeyEntry) -> None:
-        """Note that nobody knows whether the request ran."""
+        """Record that it is unknown whether the request ran."""
         with self._changed:
             entry.state = KeyState.UNKNOWN
             self._changed.notify_all()
 
     def wait(self, entry: KeyEntry, timeout: Seconds) -> KeyState:
-        """Wait for a running twin to end; return its state then."""
+        """Wait until the request of an entry has ended or a timeout; return its state.
+
+        Parameters
+        ----------
+        entry : KeyEntry
+        timeout : float
+            Seconds.
+        """
         with self._changed:
             self._changed.wait_for(lambda: entry.state is not KeyState.RUNNING, timeout)
             return entry.state
 
     def is_current(self, entry: KeyEntry) -> bool:
-        """Return whether the entry is still the one remembered for its key."""
+        """Return whether the ledger still holds this entry for its key."""
         return self._entries.get(entry.key) is entry
 
     def may_have_seen(self, key: str, *, issued_at: Seconds) -> bool:
-        """Return whether ``key`` is remembered, or so old that it may have been forgotten."""
+        """Return whether ``key`` is held, or so old that it may have been dropped."""
         with self._changed:
-            return key in self._entries or issued_at <= self._forgotten_before
+            return key in self._entries or issued_at <= self._dropped_before
 
     def _expire(self, now: Seconds, window: Seconds) -> None:
         while self._entries:
@@ -176,14 +200,14 @@
             if oldest.state is KeyState.RUNNING or now - oldest.claimed_at <= window:
                 return
             del self._entries[oldest.key]
-            self._forgotten_before = max(self._forgotten_before, oldest.claimed_at)
+            self._dropped_before = max(self._dropped_before, oldest.claimed_at)
             if oldest.answer is not None:
-                self._kept_bytes -= len(oldest.answer.body or b"")
+                self._stored_bytes -= len(oldest.answer.body or b"")
 
     def _drop_bodies(self) -> None:
         for entry in self._entries.values():
-            if self._kept_bytes <= MAX_STORED_BYTES:
+            if self._stored_bytes <= MAX_STORED_BYTES:
                 return
             if entry.answer is not None and entry.answer.body is not None:
-                self._kept_bytes -= len(entry.answer.body)
+                self._stored_bytes -= len(entry.answer.body)
                 entry.answer = StoredAnswer(entry.answer.head, None)
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -1,4 +1,4 @@
-"""At most once: a state machine of callers, boxes and targets with faults."""
+"""No request with an idempotency key runs twice, whatever fails meanwhile."""
 
 import threading
 
@@ -27,7 +27,7 @@
 
 
 class Callers(RuleBasedStateMachine):
-    """Callers send loans and repeat them, by way of any box, while things fail."""
+    """Callers send and retry loans through any box, while boxes and targets fail."""
 
     requests = Bundle("requests")
 
@@ -41,8 +41,8 @@
     def new_loan(self):
         request = Request(f"m{len(self.world.requests)}", "loan")
         self.world.requests.append(request)
-        found = self.world.ask()
-        entry = found.addresses[0] if found else None
+        listing = self.world.ask()
+        entry = listing.addresses[0] if listing else None
         self.keys[request.mark] = entry
         return request
 
@@ -68,7 +68,7 @@
     @rule(
         name=st.sampled_from(["box-0", "box-1"]), step=st.sampled_from(["send", "await", "answer"])
     )
-    def kill_in_the_middle(self, name, step):
+    def kill_during_request(self, name, step):
         def kill(world, box, _target):
             world.kill(box)
 
@@ -76,7 +76,7 @@
             self.world.at(step, kill)
 
     @rule(seconds=st.sampled_from([0.5, 5.0, 700.0]))
-    def time_passes(self, seconds):
+    def advance_time(self, seconds):
         for name, place in (("box-0", "hall-a"), ("box-1", "hall-b")):
             if name not in self.world.boxes:
                 self.world.start_box(name, place)
@@ -93,7 +93,7 @@
         self.world.cut_from_table.clear()
 
     @invariant()
-    def no_loan_ran_twice_and_not_run_means_not_run(self):
+    def no_loan_runs_twice_or_runs_after_all_attempts_reported_not_run(self):
         for request in self.world.requests:
             runs = sum(t.runs[request.mark] for t in self.world.targets.values())
             held = sum(request.mark in t.held for t in self.world.targets.values())
@@ -107,18 +107,18 @@
 TestCallers.settings = settings(max_examples=60, stateful_step_count=25, derandomize=True)
 
 
-def test_twin_that_comes_while_the_first_runs_waits_for_its_answer():
+def test_a_retry_waits_for_the_answer_of_the_running_request():
     ledger = IdempotencyLedger(clock=FakeClock())
     first = ledger.claim("k", issued_at=990.0, window=60.0)
-    twin = ledger.claim("k", issued_at=990.0, window=60.0)
-    assert (first.status, twin.status) == (ClaimStatus.RUN, ClaimStatus.KNOWN)
+    retry = ledger.claim("k", issued_at=990.0, window=60.0)
+    assert (first.status, retry.status) == (ClaimStatus.RUN, ClaimStatus.KNOWN)
     answer = StoredAnswer(AnswerHead(200, "", (), 2), b"ok")
     threading.Timer(0.05, ledger.record_answer, (first.entry, answer)).start()
-    assert ledger.wait(twin.entry, 5.0) is KeyState.ANSWERED
-    assert twin.entry.answer.body == b"ok"
+    assert ledger.wait(retry.entry, 5.0) is KeyState.ANSWERED
+    assert retry.entry.answer.body == b"ok"
 
 
-def test_key_is_forgotten_only_after_it_is_refused():
+def test_a_key_is_dropped_only_after_it_has_expired():
     clock = FakeClock()
     ledger = IdempotencyLedger(clock=clock)
     ledger.record_unknown(ledger.claim("k", issued_at=clock(), window=60.0).entry)
@@ -129,7 +129,7 @@
     assert len(ledger) == 0
 
 
-def test_full_ledger_refuses_new_keys_and_forgets_no_old_one():
+def test_a_full_ledger_refuses_new_keys_and_drops_none():
     clock = FakeClock()
     ledger = IdempotencyLedger(clock=clock, max_keys=2)
     for key in ("a", "b"):
@@ -138,7 +138,7 @@
     assert ledger.claim("a", issued_at=clock(), window=60.0).status is ClaimStatus.KNOWN
 
 
-def test_key_from_the_future_of_this_process_is_not_its_own():
+def test_a_key_issued_in_the_future_is_expired():
     clock = FakeClock()
     ledger = IdempotencyLedger(clock=clock)
     assert ledger.claim("k", issued_at=clock() + 1, window=60.0).status is ClaimStatus.EXPIRED
