--- a/dunlinnotch/state/heads.py
+++ b/dunlinnotch/state/heads.py
@@ -1,4 +1,4 @@
-"""Heads of HTTP messages as typed values."""
+"""Head of an HTTP answer."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
     phrase : str
     headers : tuple of Header
     length : int or None
-        Bytes in the body; ``None`` if unknown before its end.
+        Bytes in the body; None if unknown before its end.
     """
 
     status: int
--- a/dunlinnotch/state/lease.py
+++ b/dunlinnotch/state/lease.py
@@ -1,4 +1,4 @@
-"""A lease as its holder sees it."""
+"""A lease, from the point of view of its holder."""
 
 from __future__ import annotations
 
@@ -11,16 +11,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """The right to something, for a time.
+    """An exclusive right of limited duration.
 
     Parameters
     ----------
     key : str
-        Row of the table that names the holder.
+        Key of the row that names the holder.
     fence : int
-        Version of that row; a later holder has a higher one.
+        Fencing token: the version of that row, which is higher for each later holder.
     until : float
-        End by the holder's own monotonic clock, counted from before it asked.
+        Expiry by the holder's monotonic clock, counted from before the request for the
+        lease was sent.
     """
 
     key: str
@@ -28,11 +29,11 @@
     until: Seconds
 
     def valid(self, now: Seconds) -> bool:
-        """Return whether the holder may still act.
+        """Return whether the lease has not expired at ``now``.
 
         Notes
         -----
-        To be asked before each act with a time read then: a holder that was
-        paused finds its lease lapsed when it wakes.
+        Check it before each action with the current time, since the lease may have
+        expired while the process was paused.
         """
         return now < self.until
--- a/dunlinnotch/state/routes.py
+++ b/dunlinnotch/state/routes.py
@@ -1,4 +1,4 @@
-"""Request kinds matched by host and path prefix, and the services that take them."""
+"""Routing of requests: request kinds by host and path prefix, and their services."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceShare:
-    """A service's part of a request kind."""
+    """Weight of one service among those that serve a request kind."""
 
     service: str
     weight: float
@@ -19,25 +19,25 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestKind:
-    """One request kind and what an operator wants for it.
+    """One request kind with its settings.
 
     Parameters
     ----------
     name : str
     host, prefix : str
-        Requests of this host (lower case) whose path begins so.
+        The kind matches requests of this host (lower case) whose path has this prefix.
     idempotent : bool
-        Whether a request may run more than once without harm.
+        Whether a request is safe to retry after it may have run.
     upload : bool
-        Whether large bodies are usual.
+        Whether requests usually have large bodies.
     timeout : float
-        Longest time to hold a request, in seconds.
+        Maximum time for a request, in seconds.
     target_latency : float
-        Time within which an answer is of full use, in seconds.
+        Time within which an answer has its full value to the caller, in seconds.
     attempts : int
-        Most targets that one request may be sent to.
+        Maximum number of targets to which one request is sent.
     rank : int
-        0 is the most urgent.
+        Priority; 0 is the most urgent.
     shares : tuple of ServiceShare
     """
 
@@ -53,19 +53,25 @@
     shares: tuple[ServiceShare, ...]
 
     def service_at(self, point: float) -> str:
-        """Return the service at ``point`` (from 0 to 1) of the shares laid end to end."""
+        """Return the service at a fraction of the summed weights.
+
+        Parameters
+        ----------
+        point : float
+            From 0 to 1; a uniformly random value selects services by weight.
+        """
         total = sum(share.weight for share in self.shares)
-        left = point * total
+        remaining = point * total
         for share in self.shares:
-            if left < share.weight:
+            if remaining < share.weight:
                 return share.service
-            left -= share.weight
+            remaining -= share.weight
         return max(self.shares, key=lambda share: share.weight).service
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceInfo:
-    """What an operator says of a service.
+    """Settings of one service.
 
     Parameters
     ----------
@@ -73,7 +79,7 @@
     probe_path : str
         Path of the targets' health check.
     connections : int
-        Connections that one target accepts from all boxes together.
+        Maximum number of connections that one target accepts from all boxes together.
     """
 
     name: str
@@ -83,7 +89,17 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What callers may send, in bytes and seconds."""
+    """Limits for callers' requests.
+
+    Parameters
+    ----------
+    head_bytes, body_bytes : int
+        Maximum size of a request's head and body.
+    head_s : float
+        Timeout for receiving a head, in seconds.
+    idle_s : float
+        Timeout of an idle connection, in seconds.
+    """
 
     head_bytes: int = 16384
     body_bytes: int = 64 * 1024 * 1024
@@ -106,20 +122,20 @@
             self._by_host.setdefault(kind.host, []).append(kind)
 
     def match(self, host: str, path: str) -> RequestKind | None:
-        """Return the kind with the longest prefix that begins ``path``, or None.
+        """Return the kind of the host with the longest matching prefix, or None.
 
         Parameters
         ----------
         host : str
-            As in the request's header; a port and upper case do not matter.
+            Value of the ``Host`` header; a port is ignored, and so is letter case.
         path : str
-            With or without a query.
+            Path of the request; a query is ignored.
         """
         name = host.lower()
         if name.count(":") == 1:
             name = name.partition(":")[0]
-        bare = path.partition("?")[0]
+        path_only = path.partition("?")[0]
         for kind in self._by_host.get(name, ()):
-            if bare.startswith(kind.prefix):
+            if path_only.startswith(kind.prefix):
                 return kind
         return None
--- a/dunlinnotch/state/target_status.py
+++ b/dunlinnotch/state/target_status.py
@@ -1,4 +1,4 @@
-"""What a target says of itself, with an answer or when it is probed."""
+"""Load and status that a target reports with an answer or to a probe."""
 
 from __future__ import annotations
 
@@ -11,15 +11,14 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetReport:
-    """What a target says of its load.
+    """Load that a target reports.
 
     Parameters
     ----------
     running, waiting, slots : int
-        Requests that it works on, requests that wait there, and how many it
-        works on at once.
+        Requests in progress, requests queued, and the limit of requests in progress.
     latency_ratio : float, default 1.0
-        How long work takes there now; 1 is as usual.
+        Current latency relative to the usual latency; 1 is as usual.
     """
 
     running: int
@@ -30,16 +29,16 @@
 
 @dataclass(frozen=True, slots=True)
 class TargetStatus:
-    """All that a target says of itself beside one answer.
+    """Status that a target reports with an answer or to a probe.
 
     Parameters
     ----------
     report : TargetReport, optional
-        Its load, if it tells any.
+        Its load, if reported.
     backoff : float, default 0.0
-        Seconds for which it wants nothing more from this box.
+        Back-off that the target requests, in seconds; the box sends it no requests then.
     leaving : bool, default False
-        Whether it is about to end and wants no new work.
+        Whether it is about to shut down and accepts no new requests.
     """
 
     report: TargetReport | None = None
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -43,12 +43,12 @@
         ("a.example", "/x?y=/a/", None),
     ],
 )
-def test_longest_prefix_of_the_host(host, path, name):
-    found = TABLE.match(host, path)
-    assert (None if found is None else found.name) == name
+def test_the_longest_prefix_of_the_host_matches(host, path, name):
+    matched = TABLE.match(host, path)
+    assert (None if matched is None else matched.name) == name
 
 
-def test_shares_are_taken_in_proportion():
+def test_services_are_selected_by_weight():
     split = kind("k", "/", shares=(("x", 90), ("y", 10), ("z", 0)))
     services = [split.service_at((n * 0.6180339887498949) % 1.0) for n in range(1000)]
     assert 890 <= services.count("x") <= 910
