--- a/dunlinnotch/state/targets.py
+++ b/dunlinnotch/state/targets.py
@@ -1,4 +1,4 @@
-"""What one box knows of one target: exact counts of its own, estimates of the rest."""
+"""State of a target at one box: its own calls exactly, those of other boxes estimated."""
 
 from __future__ import annotations
 
@@ -9,32 +9,33 @@
 if TYPE_CHECKING:
     from dunlinnotch.types import Address, Seconds
 
-#: Weight of a new sample in the share of reports that were found too low.
-_DOUBT_GAIN = 0.1
-#: Share of shortfall above which a target's own reports are no longer used.
+#: Weight of a new sample in the moving average of ``report_shortfall``.
+_SHORTFALL_WEIGHT = 0.1
+#: ``report_shortfall`` above which a target's reports are no longer used.
 MAX_REPORT_SHORTFALL = 0.35
-#: Time constant, in seconds, over which the load charged for errors fades.
-_ERROR_FADE_S = 0.5
-#: Differences below a tenth of a call are noise; without them, idle targets tie and share.
+#: Time constant of the decay of the load charged for errors.
+_ERROR_DECAY_S = 0.5
+#: Decimal digits of the occupancy.  Rounding lets idle targets tie, so that they share
+#: the calls.
 _OCCUPANCY_DIGITS = 1
-#: Load for errors below which they are forgotten, in calls.
-_ERROR_LEAST = 0.5
-#: Share of its slots that a wholly cold target is trusted with.
-_COLD_SHARE = 0.2
-#: Load charged for an overdue call, as a share of the target's slots, at most.
-_OVERDUE_SHARE = 0.5
+#: Load charged for errors, in calls, below which none is charged.
+_MIN_ERROR_LOAD = 0.5
+#: Share of its slots that a target gets at the beginning of its slow start.
+_MIN_SLOW_START_SHARE = 0.2
+#: Limit of the load charged for an overdue call, as a share of the target's slots.
+_MAX_OVERDUE_SHARE = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class Flight:
-    """One call of this box at a target.
+    """One call of this box in flight at a target.
 
     Parameters
     ----------
     began : float
         When it was sent, in monotonic seconds.
     expected : float
-        Seconds that a call of its kind has taken of late, on any target.
+        Recent latency of calls of the same kind over all targets, in seconds.
     """
 
     began: Seconds
@@ -43,22 +44,23 @@
 
 @dataclass(slots=True)
 class TargetRecord:
-    """State of one target as seen by one box.
+    """State of one target at one box.
 
     Parameters
     ----------
     address : str
     place : str
     slots : int
-        Calls the target runs at once.
+        Calls that the target runs at once.
     sharers : float, default 1.0
-        Boxes that send to this target, this one included.
+        Number of boxes that send to this target, this one included.
 
     Notes
     -----
-    ``flights`` is exact.  ``others`` comes from the target's own word on its last
-    answer and is stale by the time it is read; :meth:`occupancy` ages it
-    back to the mean of all targets.
+    ``flights`` is exact.  ``others_in_flight`` is derived from the target's last report
+    and soon outdated, so :meth:`in_flight` lets it decay to the mean of all targets.
+    ``report_shortfall`` is the moving average of the share of this box's calls that the
+    target's reports lack.
     """
 
     address: Address
@@ -78,8 +80,8 @@
     leaving: bool = False
     reported_leaving: bool = False
     incarnation: str | None = None
-    warm_from: Seconds = -math.inf
-    warm_up: Seconds = 0.0
+    slow_start_at: Seconds = -math.inf
+    slow_start_s: Seconds = 0.0
     last_used: Seconds = -math.inf
     backoff_until: Seconds = -math.inf
 
@@ -89,7 +91,7 @@
         return len(self.flights)
 
     def in_flight(self, now: Seconds, *, mean_others: float, fade: Seconds) -> float:
-        """Return the calls of all boxes thought to be in flight at the target.
+        """Return the estimated calls of all boxes in flight at the target.
 
         Parameters
         ----------
@@ -97,7 +99,7 @@
         mean_others : float
             Mean of the other boxes' calls over all targets.
         fade : float
-            Time constant, in seconds, at which a report loses its worth.
+            Time constant of the decay of a report, in seconds.
         """
         own = len(self.flights)
         if self.report_shortfall > MAX_REPORT_SHORTFALL:
@@ -106,80 +108,79 @@
         return own + mean_others + (self.others_in_flight - mean_others) * weight
 
     def occupancy(self, now: Seconds, *, mean_others: float, fade: Seconds) -> float:
-        """Return the calls in flight plus what overdue calls and errors are charged.
+        """Return the calls in flight plus the load charged for overdue calls and errors.
 
         Parameters are those of :meth:`in_flight`.
         """
-        known = self.in_flight(now, mean_others=mean_others, fade=fade)
+        occupancy = self.in_flight(now, mean_others=mean_others, fade=fade)
         if self.flights:
-            known += self.overdue(now)
+            occupancy += self.overdue(now)
         if self.error_load:
-            known += self.charged_errors(now)
-        return round(known, _OCCUPANCY_DIGITS)
+            occupancy += self.charged_errors(now)
+        return round(occupancy, _OCCUPANCY_DIGITS)
 
     def overdue(self, now: Seconds) -> float:
         """Return the load charged for the call that is most overdue, in calls.
 
-        A target that has turned slow reports rarely, so its last report
-        flatters it; its unanswered calls tell sooner.
+        A target that has become slow answers, and so reports, rarely; its last report is
+        too low, and its overdue calls show the slowness earlier.
         """
-        worst = 0.0
+        max_overdue = 0.0
         for flight in self.flights:
-            late = (now - flight.began) / flight.expected - 1.0
-            worst = max(worst, late)
-        return min(worst, self.slots * _OVERDUE_SHARE)
+            overdue = (now - flight.began) / flight.expected - 1.0
+            max_overdue = max(max_overdue, overdue)
+        return min(max_overdue, self.slots * _MAX_OVERDUE_SHARE)
 
     def charged_errors(self, now: Seconds) -> float:
         """Return the load charged for recent errors, in calls."""
-        charged = self.error_load * math.exp(-(now - self.error_at) / _ERROR_FADE_S)
-        if charged < _ERROR_LEAST:
-            # Or else an idle service would never call the target again.
+        charged = self.error_load * math.exp(-(now - self.error_at) / _ERROR_DECAY_S)
+        if charged < _MIN_ERROR_LOAD:
+            # Otherwise an idle service would never call the target again.
             self.error_load = 0.0
             return 0.0
         return charged
 
     def capacity(self, now: Seconds) -> float:
-        """Return the slots the target is trusted with; fewer while it is cold."""
-        if self.warm_up <= 0.0 or now >= self.warm_from + self.warm_up:
+        """Return the slots of the target; fewer during its slow start."""
+        if self.slow_start_s <= 0.0 or now >= self.slow_start_at + self.slow_start_s:
             return float(self.slots)
-        warmth = max(0.0, (now - self.warm_from) / self.warm_up)
-        return self.slots * (_COLD_SHARE + (1.0 - _COLD_SHARE) * warmth)
+        progress = max(0.0, (now - self.slow_start_at) / self.slow_start_s)
+        return self.slots * (_MIN_SLOW_START_SHARE + (1.0 - _MIN_SLOW_START_SHARE) * progress)
 
     def record_report(self, now: Seconds, in_flight: int) -> float:
-        """Take in a target's report; return its estimate of the others' calls.
+        """Record a target's report; return the calls of other boxes derived from it.
 
         Parameters
         ----------
         now : float
         in_flight : int
-            Calls at the target besides the one that was answered.
+            Calls in flight at the target besides the one that was answered.
         """
-        own_besides = max(0, self.own_in_flight - 1)
-        if own_besides > 1:
-            short = max(0.0, own_besides - in_flight) / own_besides
-            self.report_shortfall += _DOUBT_GAIN * (short - self.report_shortfall)
-        self.others_in_flight = float(max(0, in_flight - own_besides))
+        own_others = max(0, self.own_in_flight - 1)
+        if own_others > 1:
+            shortfall = max(0.0, own_others - in_flight) / own_others
+            self.report_shortfall += _SHORTFALL_WEIGHT * (shortfall - self.report_shortfall)
+        self.others_in_flight = float(max(0, in_flight - own_others))
         self.reported_at = now
         return self.others_in_flight
 
     def record_failure(self, now: Seconds) -> None:
-        """Charge an error as one full target's load, so that failing fast never looks fast."""
+        """Charge a saturated target's load, so that failing fast does not attract calls."""
         self.error_load = min(self.charged_errors(now), 2.0 * self.slots) + self.slots
         self.error_at = now
         self.errors_in_row += 1
 
     def record_success(self) -> None:
-        """Forget errors in a row; the charged load fades by itself."""
+        """Reset the consecutive errors and end the ejection; the charged load decays."""
         self.errors_in_row = 0
         self.ejected = False
         self.trial_running = False
 
     def record_state(self, incarnation: str | None, *, leaving: bool) -> None:
-        """Take in the target's own word on whether it leaves.
+        """Record whether the target reports that it is leaving.
 
-        Leaving is final for one start of a target, whatever a lagging report
-        says later; only a target that says it has started anew takes work
-        again.
+        Leaving is final for one start of a target, whatever a delayed report says; only a
+        target that reports a new incarnation gets work again.
         """
         restarted = incarnation is not None and incarnation != self.incarnation
         if restarted and self.incarnation is not None:
@@ -193,18 +194,25 @@
         self.leaving = self.leaving or leaving
 
     def refuses_work(self, now: Seconds) -> bool:
-        """Return whether the target leaves or rests."""
+        """Return whether the target is leaving or requests back-off."""
         return self.leaving or now < self.backoff_until
 
     def record_peer_leaving(self, incarnation: str | None) -> None:
-        """Take in a peer's word that this start of the target leaves."""
+        """Record a peer's report that this start of the target is leaving."""
         if incarnation is not None and self.incarnation not in (None, incarnation):
             return
         self.leaving = True
         self.incarnation = incarnation
 
     def begin_warm_up(self, now: Seconds, duration: Seconds) -> None:
-        """Start the ramp of a target that said it is cold."""
-        if now >= self.warm_from + self.warm_up:
-            self.warm_from = now
-            self.warm_up = duration
+        """Begin the slow start of a target that reports that it is warming up.
+
+        Parameters
+        ----------
+        now : float
+        duration : float
+            Seconds.
+        """
+        if now >= self.slow_start_at + self.slow_start_s:
+            self.slow_start_at = now
+            self.slow_start_s = duration
