--- a/dunlinnotch/config.py
+++ b/dunlinnotch/config.py
@@ -1,4 +1,4 @@
-"""The daemon's own settings, read from an INI file and checked by pydantic."""
+"""Settings of a daemon, read from an INI file and validated by pydantic."""
 
 from __future__ import annotations
 
@@ -14,8 +14,9 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-#: A row lost must not make a box suspect, nor a slow answer cost a lease.
-_ROWS_MISSED, _RENEWALS = 2, 3
+#: Minimum of row intervals in ``suspect_ms``, so that one lost row makes no box suspect.
+#: Minimum of timeouts in a lease, so that one slow answer does not let it expire.
+_MIN_ROW_INTERVALS, _MIN_RENEWALS = 2, 3
 
 _NAME = r"^[A-Za-z0-9][A-Za-z0-9_.-]{0,63}$"
 
@@ -25,7 +26,7 @@
 
 
 class BoxSection(_Section):
-    """Who and where this box is."""
+    """Name, place and addresses of this box."""
 
     name: str = Field(pattern=_NAME, description="Name of the box, unique in the system.")
     place: str = Field(pattern=_NAME, description="Data hall of the box.")
@@ -35,30 +36,35 @@
 
 
 class PlatformSection(_Section):
-    """Where the platform's service is."""
+    """Access to the platform's service."""
 
     address: NumericAddress = Field(description="Table service, object store and list of boxes.")
-    timeout_ms: float = Field(1000, ge=10, le=60000, description="Longest wait for an answer, ms.")
+    timeout_ms: float = Field(1000, ge=10, le=60000, description="Timeout of a request, ms.")
     poll_ms: float = Field(
-        500, ge=50, le=60000, description="Time between reads of the table by a reader, ms."
-    )
-    lease_s: float = Field(
-        300, ge=5, le=86400, description="Length of the lease of a probe seat, s."
+        500, ge=50, le=60000, description="Interval between reads of the table by a reader, ms."
     )
+    lease_s: float = Field(300, ge=5, le=86400, description="Duration of a probe lease, s.")
     readers: int = Field(
         3, ge=1, le=100, description="Boxes of each place that read the table at poll_ms."
     )
 
 
 class PeersSection(_Section):
-    """How this box keeps in touch with others."""
+    """Links to other boxes."""
 
-    seeds: AddressList = Field((), description="Peers tried while none is known.")
-    links: int = Field(3, ge=1, le=64, description="Most links that this box opens.")
-    heartbeat_ms: float = Field(250, ge=20, le=10000, description="Time between two turns, ms.")
-    row_ms: float = Field(2000, ge=50, le=60000, description="Time between two rows, ms.")
+    seeds: AddressList = Field((), description="Peers to connect to while none is known.")
+    links: int = Field(3, ge=1, le=64, description="Maximum number of links that this box opens.")
+    heartbeat_ms: float = Field(
+        250, ge=20, le=10000, description="Interval between sync rounds, ms."
+    )
+    row_ms: float = Field(
+        2000, ge=50, le=60000, description="Interval between new rows of this box, ms."
+    )
     suspect_ms: float = Field(
-        6000, ge=100, le=600000, description="Silence after which a box is not offered, ms."
+        6000,
+        ge=100,
+        le=600000,
+        description="Silence after which a box is not offered to callers, ms.",
     )
     forget_ms: float = Field(
         30000,
@@ -69,34 +75,45 @@
 
 
 class LimitsSection(_Section):
-    """Bounds that protect the box itself."""
+    """Limits that protect the box from overload."""
 
-    connections: int = Field(1000, ge=1, le=20000, description="Callers' connections at once.")
-    head_ms: float = Field(5000, ge=100, le=60000, description="Time for a whole head, ms.")
-    idle_ms: float = Field(60000, ge=100, le=3600000, description="Idle keep-alive time, ms.")
+    connections: int = Field(
+        1000, ge=1, le=20000, description="Maximum number of callers' connections."
+    )
+    head_ms: float = Field(
+        5000, ge=100, le=60000, description="Timeout for receiving a request's head, ms."
+    )
+    idle_ms: float = Field(
+        60000, ge=100, le=3600000, description="Timeout of an idle connection, ms."
+    )
     drain_margin_ms: float = Field(
         1000, ge=0, le=60000, description="Time added to the longest answer in a drain, ms."
     )
 
 
 class MetricsSection(_Section):
-    """Where metrics go."""
+    """Destination and names of metrics."""
 
-    statsd: NumericAddress | None = Field(None, description="statsd server; none if left out.")
-    prefix: str = Field("dunlinnotch", description="First part of each metric's name.")
+    statsd: NumericAddress | None = Field(
+        None, description="Address of the statsd server; no metrics are sent without it."
+    )
+    prefix: str = Field("dunlinnotch", description="Prefix of the metrics' names.")
 
 
 class LogsSection(_Section):
-    """What is logged."""
+    """Level and rate of log lines."""
 
-    level: str = Field("INFO", pattern="^(DEBUG|INFO|WARNING|ERROR)$", description="Least level.")
+    level: str = Field("INFO", pattern="^(DEBUG|INFO|WARNING|ERROR)$", description="Minimum level.")
     decisions_per_s: int = Field(
-        1000, ge=0, le=100000, description="Most decision lines in a second; the rest are counted."
+        1000,
+        ge=0,
+        le=100000,
+        description="Maximum of decision lines per second; others are counted.",
     )
 
 
 class Config(_Section):
-    """All of a daemon's own settings."""
+    """All settings of a daemon's INI file."""
 
     box: BoxSection
     platform: PlatformSection
@@ -112,8 +129,8 @@
     Raises
     ------
     ConfigError
-        Names the section, the key, the value received, what is allowed and
-        the nearest known name.
+        If the file can't be read or is invalid; names the section, the key, the value
+        received, those allowed and the nearest known name.
     """
     parser = configparser.ConfigParser(interpolation=None)
     try:
@@ -132,7 +149,7 @@
 
 
 def contradictions(config: Config) -> list[str]:
-    """Return the settings that are each allowed, yet don't add up.
+    """Return the contradictions between settings that are each valid by themselves.
 
     Parameters
     ----------
@@ -141,33 +158,35 @@
     Returns
     -------
     list of str
-        Each names section, keys, values and what would do; empty if all adds up.
+        Each message names the section, the keys, their values and the fix; empty if there
+        is no contradiction.
     """
     peers, platform = config.peers, config.platform
-    found = []
+    messages = []
     if peers.heartbeat_ms > peers.row_ms:
-        found.append(
+        messages.append(
             f"[peers] heartbeat_ms = {peers.heartbeat_ms:g} but row_ms = {peers.row_ms:g}: rows "
-            "wait for a turn; heartbeat_ms of row_ms or less would do"
+            "wait for the next sync round; set heartbeat_ms to row_ms or less"
         )
-    if peers.suspect_ms < _ROWS_MISSED * peers.row_ms:
-        found.append(
+    if peers.suspect_ms < _MIN_ROW_INTERVALS * peers.row_ms:
+        messages.append(
             f"[peers] suspect_ms = {peers.suspect_ms:g} but row_ms = {peers.row_ms:g}: one lost "
-            f"row makes a box suspect; {_ROWS_MISSED * peers.row_ms:g} or more would do"
+            "row makes a box suspect; "
+            f"set suspect_ms to {_MIN_ROW_INTERVALS * peers.row_ms:g} or more"
         )
     if peers.forget_ms <= peers.suspect_ms:
-        found.append(
+        messages.append(
             f"[peers] forget_ms = {peers.forget_ms:g} but suspect_ms = {peers.suspect_ms:g}: a "
-            "box is forgotten before it is suspect; more than suspect_ms would do"
+            "box is dropped before it is suspect; set forget_ms above suspect_ms"
         )
     lease_ms = platform.lease_s * 1000
-    if platform.timeout_ms * _RENEWALS >= lease_ms:
-        found.append(
+    if platform.timeout_ms * _MIN_RENEWALS >= lease_ms:
+        messages.append(
             f"[platform] timeout_ms = {platform.timeout_ms:g} but lease_s = "
-            f"{platform.lease_s:g}: a lease lapses while it is renewed; less than "
-            f"{lease_ms / _RENEWALS:g} ms would do"
+            f"{platform.lease_s:g}: a lease may expire while it is being renewed; set timeout_ms "
+            f"below {lease_ms / _MIN_RENEWALS:g} ms"
         )
-    return found
+    return messages
 
 
 def _explain(loc: tuple[int | str, ...], message: str, received: object) -> str:
--- a/tests/test_consistency.py
+++ b/tests/test_consistency.py
@@ -1,4 +1,4 @@
-"""Settings that are allowed one by one and don't add up are found before they are used."""
+"""Contradictions between settings that are each valid are reported before use."""
 
 from __future__ import annotations
 
@@ -51,12 +51,12 @@
     return file
 
 
-def check(words):
+def check(arguments):
     tester = CommandTester(application().find("check"))
-    return tester.execute(words), tester.io.fetch_output(), tester.io.fetch_error()
+    return tester.execute(arguments), tester.io.fetch_output(), tester.io.fetch_error()
 
 
-def test_settings_that_add_up(tmp_path):
+def test_consistent_settings_are_accepted(tmp_path):
     assert contradictions(read_tree(tree(tmp_path))) == []
     assert config_contradictions(read_config(box(tmp_path))) == []
     status, out, error = check(f"{box(tmp_path)} --tree {tree(tmp_path)}")
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "said"),
+    ("change", "expected"),
     [
         (
             ("connections = 250", "connections = 10"),
@@ -73,7 +73,7 @@
         ),
         (
             ("boxes_max = 18", "boxes_max = 240"),
-            "a box may probe a target once in 120 s; 8.0 probes a second or more would do",
+            "a box may probe a target once in 120 s; allow 8.0 probes per second or more, or none",
         ),
         (("boxes_max = 18", "boxes_max = 18\nprobe_cost_ms = 200"), "once in 60 s"),
         (
@@ -84,45 +84,45 @@
         (("keep_s = 10", "keep_s = 700"), "/: keep_s = 700 but once_window_s = 600"),
     ],
 )
-def test_a_tree_that_does_not_add_up(tmp_path, change, said):
+def test_a_contradiction_in_a_tree_is_reported(tmp_path, change, expected):
     file = tree(tmp_path, TREE.replace(*change))
-    (found,) = contradictions(read_tree(file))
-    assert said in found
+    (message,) = contradictions(read_tree(file))
+    assert expected in message
     status, _, error = check(f"--tree {file}")
     assert status == Exit.INVALID
     assert "does not add up" in error
 
 
 @pytest.mark.parametrize(
-    ("sections", "said"),
+    ("sections", "expected"),
     [
         ({"peers": "heartbeat_ms = 3000"}, "heartbeat_ms = 3000 but row_ms = 2000"),
-        ({"peers": "suspect_ms = 3000"}, "4000 or more would do"),
+        ({"peers": "suspect_ms = 3000"}, "4000 or more"),
         ({"peers": "forget_ms = 6000"}, "forget_ms = 6000 but suspect_ms = 6000"),
-        ({"platform": "timeout_ms = 2000\nlease_s = 6"}, "less than 2000 ms would do"),
+        ({"platform": "timeout_ms = 2000\nlease_s = 6"}, "below 2000 ms"),
     ],
 )
-def test_a_box_whose_settings_do_not_add_up(tmp_path, sections, said):
+def test_a_contradiction_in_a_box_file_is_reported(tmp_path, sections, expected):
     file = box(tmp_path, **sections)
-    (found,) = config_contradictions(read_config(file))
-    assert said in found
+    (message,) = config_contradictions(read_config(file))
+    assert expected in message
     status, _, error = check(str(file))
     assert status == Exit.INVALID
-    assert said.split()[0] in error
+    assert expected.split()[0] in error
 
 
 @pytest.mark.parametrize(
-    ("words", "said"),
+    ("arguments", "expected"),
     [
         ("", "nothing to check"),
         ("none.ini", "config-invalid"),
         ("--tree none.ini", "settings-invalid"),
     ],
 )
-def test_what_can_t_be_checked_is_said(words, said):
-    status, _, error = check(words)
+def test_files_that_can_not_be_checked_are_reported(arguments, expected):
+    status, _, error = check(arguments)
     assert status == Exit.INVALID
-    assert said in error
+    assert expected in error
 
 
 def test_a_tree_with_an_unknown_setting_is_refused(tmp_path):
