--- a/dunlinnotch/state/schema.py
+++ b/dunlinnotch/state/schema.py
@@ -1,7 +1,7 @@
-"""The schema of the settings tree: each setting's type, unit, default and range.
+"""Schema of the settings tree: type, unit, default and range of each setting.
 
-Values are kept in the tree as text, as an operator typed them, and are
-checked by :mod:`pydantic` when they are set.
+The tree holds values as the text that an operator typed; :mod:`pydantic` validates them
+when they are set.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 
 
 def split_list(value: object) -> object:
-    """Split a comma-separated text; pass anything else through."""
+    """Return the items of a comma-separated string; any other value unchanged."""
     if not isinstance(value, str):
         return value
     return tuple(part.strip() for part in value.split(",") if part.strip())
@@ -40,10 +40,12 @@
     Raises
     ------
     ValueError
-        For anything else.
+        If it is not.
     """
     if not _ADDRESS.match(address) or not 0 < int(address.rsplit(":", 1)[1]) < 65536:
-        msg = f"{address!r} is not an IP number with a port, such as 10.0.0.7:8080"
+        msg = (
+            f"{address!r} is not an IP address with a port, such as 10.0.0.7:8080 or [fd00::7]:8080"
+        )
         raise ValueError(msg)
     return address
 
@@ -57,12 +59,11 @@
 
 
 class Settings(BaseModel):
-    """All settings in force at one node of the tree, defaults filled in.
+    """All effective settings of one node of the tree, with defaults.
 
     Notes
     -----
-    The field's description, unit, default and range are the source of
-    ``docs/SETTINGS.md``.
+    ``docs/SETTINGS.md`` is generated from the fields.
     """
 
     model_config = ConfigDict(frozen=True, extra="forbid")
@@ -78,7 +79,7 @@
         6,
         ge=1,
         le=1024,
-        description="Calls one target runs at once.",
+        description="Calls that one target runs at once.",
         json_schema_extra=_unit("calls"),
     )
     connections: int = Field(
@@ -95,58 +96,58 @@
         18,
         ge=1,
         le=10000,
-        description="Most boxes that may run at once; budgets are divided by it.",
+        description="Maximum number of running boxes; budgets are divided by it.",
         json_schema_extra=_unit("boxes"),
     )
     target_queue: float = Field(
         1.0,
         ge=0,
         le=100,
-        description="Calls let wait at a target beyond its slots before the box queues.",
+        description="Calls that may wait at a target beyond its slots before the box queues calls.",
         json_schema_extra=_unit("calls"),
     )
     probe_rate: float = Field(
         2.0,
         ge=0,
         le=1000,
-        description="Most probes one target gets from all boxes together.",
+        description="Maximum rate of probes to one target by all boxes.",
         json_schema_extra=_unit("1/s"),
     )
     probe_share: float = Field(
-        0.01, ge=0, le=1, description="Most of one target's slot time that probes may take."
+        0.01, ge=0, le=1, description="Maximum share of a target's slot time for probes."
     )
     probe_cost_ms: float = Field(
         6.0,
         gt=0,
         le=10000,
-        description="Time one probe takes of a slot.",
+        description="Slot time that one probe uses.",
         json_schema_extra=_unit("ms"),
     )
     eject_after: int = Field(
-        3, ge=1, le=1000, description="Errors in a row after which a target gets only trial calls."
+        3, ge=1, le=1000, description="Consecutive errors after which a target is ejected."
     )
     eject_share: float = Field(
-        0.4, ge=0, le=1, description="Most of a service's targets that may be set aside at once."
+        0.4, ge=0, le=1, description="Maximum share of a service's targets ejected at once."
     )
     trial_s: float = Field(
         0.5,
         gt=0,
         le=600,
-        description="Time between trial calls to a target set aside.",
+        description="Interval between trial calls to an ejected target.",
         json_schema_extra=_unit("s"),
     )
     warm_up_s: float = Field(
         5.0,
         ge=0,
         le=3600,
-        description="Time over which a cold target's share grows to the full one.",
+        description="Duration of the slow start of a target that is warming up.",
         json_schema_extra=_unit("s"),
     )
     repeatable: bool = Field(
-        False, description="Whether a call of this kind may run more than once without harm."
+        False, description="Whether a call of this kind is safe to retry after it may have run."
     )
     rank: int = Field(
-        5, ge=0, le=9, description="Order in which queued calls go; 0 goes first, strictly."
+        5, ge=0, le=9, description="Strict priority of queued calls; 0 is the highest."
     )
     share: float = Field(
         1.0, gt=0, le=1000, description="Weight of this kind among kinds of the same rank."
@@ -155,18 +156,18 @@
         10000.0,
         gt=0,
         le=3600000,
-        description="Time for a call that states none.",
+        description="Deadline of a call that states none.",
         json_schema_extra=_unit("ms"),
     )
     queue_ms: float = Field(
         250.0,
         ge=0,
         le=600000,
-        description="Longest wait for a slot before a call is refused as not run.",
+        description="Maximum wait for a slot, after which a call is refused as not run.",
         json_schema_extra=_unit("ms"),
     )
     attempts: int = Field(
-        3, ge=1, le=10, description="Targets tried for one call, the first one included."
+        3, ge=1, le=10, description="Maximum attempts for one call, the first one included."
     )
     retry_share: float = Field(
         0.1, ge=0, le=1, description="Retries allowed as a share of first attempts."
@@ -175,7 +176,7 @@
         600.0,
         ge=1,
         le=86400,
-        description="Time for which a once-key is valid and remembered.",
+        description="Time for which an idempotency key is valid and remembered.",
         json_schema_extra=_unit("s"),
     )
     keep_s: float = Field(
@@ -189,7 +190,7 @@
         10.0,
         ge=1,
         le=3600,
-        description="A box that hears neither table nor peer this long takes no new work.",
+        description="Time without contact to table and peers after which a box refuses new work.",
         json_schema_extra=_unit("s"),
     )
 
@@ -203,12 +204,12 @@
     Raises
     ------
     SettingsError
-        Names the nearest known setting.
+        If it is not; names the nearest known setting and all known ones.
     """
     if name in Settings.model_fields:
         return
-    near = difflib.get_close_matches(name, FIELD_NAMES, n=1)
-    hint = f"; did you mean {near[0]!r}?" if near else ""
+    nearest = difflib.get_close_matches(name, FIELD_NAMES, n=1)
+    hint = f"; did you mean {nearest[0]!r}?" if nearest else ""
     msg = f"unknown setting {name!r}{hint} Known: {', '.join(FIELD_NAMES)}"
     raise SettingsError(msg)
 
@@ -219,7 +220,7 @@
     Raises
     ------
     SettingsError
-        Names the setting, the value received and the values allowed.
+        If it is not; names the setting, the value received and the values allowed.
     """
     check_name(name)
     try:
@@ -231,17 +232,17 @@
 
 
 def allowed(name: str) -> str:
-    """Return a sentence on the values that ``name`` may take, with unit."""
+    """Return a description of the values allowed for the setting ``name``, with unit."""
     field = Settings.model_fields[name]
     bounds = [
         f"{type(m).__name__.lower()} {next(iter(vars_of(m)))}" for m in field.metadata if vars_of(m)
     ]
-    kind = field.annotation
-    if isinstance(kind, type) and issubclass(kind, StrEnum):
-        return " | ".join(kind)
-    named = getattr(kind, "__name__", "list of addresses")
-    named = "list of addresses" if named == "tuple" else named
-    return ", ".join([named, *bounds, *([u] if (u := unit_of(name)) else [])])
+    annotation = field.annotation
+    if isinstance(annotation, type) and issubclass(annotation, StrEnum):
+        return " | ".join(annotation)
+    type_name = getattr(annotation, "__name__", "list of addresses")
+    type_name = "list of addresses" if type_name == "tuple" else type_name
+    return ", ".join([type_name, *bounds, *([u] if (u := unit_of(name)) else [])])
 
 
 def vars_of(constraint: object) -> list[object]:
@@ -252,7 +253,7 @@
 
 
 def unit_of(name: str) -> str:
-    """Return the unit of the setting ``name``, or an empty text."""
+    """Return the unit of the setting ``name``, or an empty string."""
     extra = Settings.model_fields[name].json_schema_extra
     return str(extra["unit"]) if isinstance(extra, dict) and "unit" in extra else ""
 
--- a/dunlinnotch/state/tree.py
+++ b/dunlinnotch/state/tree.py
@@ -1,4 +1,4 @@
-"""The settings tree: immutable, numbered, with inheritance by path.
+"""Settings tree: immutable, versioned, with inheritance by path.
 
 A path is ``/`` for the root, ``PLACE``, ``PLACE/SERVICE`` or
 ``PLACE/SERVICE/KIND``.  ``*`` stands for every place.  The reserved paths
@@ -27,8 +27,8 @@
 ANY_PLACE = "*"
 BOX_PREFIX = "box:"
 TARGET_PREFIX = "target:"
-#: Edit ids remembered, so that an edit whose answer was lost is known again.
-EDITS_KEPT = 1024
+#: Limit of the edits held, by which a retry of an edit whose answer was lost is recognised.
+MAX_EDITS = 1024
 
 _PART = r"[A-Za-z0-9][A-Za-z0-9_.-]{0,63}"
 _PATH = re.compile(
@@ -42,7 +42,7 @@
     Raises
     ------
     SettingsError
-        Names the path received and the forms allowed.
+        If it is invalid; names the path received and the forms allowed.
     """
     if not _PATH.match(path):
         msg = (
@@ -62,7 +62,7 @@
     path : str
     name : str
     value : str or None
-        ``None`` removes the setting, so that it is inherited again.
+        None removes the setting, so that it is inherited again.
     """
 
     path: str
@@ -70,7 +70,13 @@
     value: str | None
 
     def check(self) -> None:
-        """Raise :class:`SettingsError` unless the change may be applied."""
+        """Check the path, the name and the value.
+
+        Raises
+        ------
+        SettingsError
+            If one of them is invalid.
+        """
         check_path(self.path)
         if self.value is None:
             check_name(self.name)
@@ -86,13 +92,13 @@
     Parameters
     ----------
     edit_id : str
-        Chosen by the one who edits; the same in each repeat.
+        Chosen by the author; the same in each retry.
     base : int
-        The version on which the operator looked.
+        Version of the tree on which the edit is based.
     author : str
     changes : tuple of Change
     version : int, default 0
-        The version that the edit made; 0 until it is accepted.
+        Version of the tree after the edit; 0 until it is accepted.
     """
 
     edit_id: str
@@ -102,7 +108,7 @@
     version: Version = 0
 
     def paths(self) -> frozenset[str]:
-        """Return the paths of the nodes changed."""
+        """Return the paths of the changed nodes."""
         return frozenset(change.path for change in self.changes)
 
 
@@ -116,9 +122,9 @@
     version : int
     nodes : mapping of path to mapping of name to text
     changed : mapping of path to int
-        The version that last changed each node.
+        Version of the last change of each node.
     edits : tuple of Edit
-        The newest accepted edits, oldest first.
+        The last accepted edits, oldest first.
     """
 
     version: Version = 0
@@ -127,7 +133,7 @@
     edits: tuple[Edit, ...] = ()
 
     def apply(self, edit: Edit) -> SettingsTree:
-        """Return the next tree.
+        """Return the tree after an edit.
 
         Parameters
         ----------
@@ -137,7 +143,7 @@
         Raises
         ------
         SettingsError
-            If the edit does not follow this tree or holds a bad change.
+            If the version of the edit is not the next one or a change is invalid.
         """
         if edit.version != self.version + 1:
             msg = f"edit {edit.edit_id} has version {edit.version}; allowed: {self.version + 1}"
@@ -152,10 +158,10 @@
                 values[change.name] = change.value
         merged = {path: values for path, values in {**self.nodes, **nodes}.items() if values}
         changed = {**self.changed, **dict.fromkeys(edit.paths(), edit.version)}
-        return SettingsTree(edit.version, merged, changed, (*self.edits, edit)[-EDITS_KEPT:])
+        return SettingsTree(edit.version, merged, changed, (*self.edits, edit)[-MAX_EDITS:])
 
     def find_edit(self, edit_id: str) -> Edit | None:
-        """Return the accepted edit with this id, if it is still remembered."""
+        """Return the accepted edit with this id, or None if it is unknown or too old."""
         return next((edit for edit in reversed(self.edits) if edit.edit_id == edit_id), None)
 
     def edits_after(self, version: Version) -> tuple[Edit, ...] | None:
@@ -164,7 +170,7 @@
         Returns
         -------
         tuple of Edit or None
-            ``None`` if they are no longer remembered.
+            None if the tree no longer holds them all.
         """
         missing = self.version - version
         if missing <= 0:
@@ -176,29 +182,29 @@
         return tuple(sorted(p for p in edit.paths() if self.changed.get(p, 0) > edit.base))
 
     def chain(self, path: str) -> tuple[str, ...]:
-        """Return the paths from which a node inherits, from root to itself."""
+        """Return the paths from which a node inherits, from the root to the node itself."""
         if path == ROOT or path.startswith((BOX_PREFIX, TARGET_PREFIX)):
             return (ROOT,) if path == ROOT else (ROOT, path)
         parts = path.split("/")
         chain = [ROOT]
         for depth in range(1, len(parts) + 1):
-            anywhere = "/".join([ANY_PLACE, *parts[1:depth]])
-            here = "/".join(parts[:depth])
-            chain.extend(dict.fromkeys((anywhere, here)))
+            any_place = "/".join([ANY_PLACE, *parts[1:depth]])
+            named_place = "/".join(parts[:depth])
+            chain.extend(dict.fromkeys((any_place, named_place)))
         return tuple(chain)
 
     def effective(self, path: str) -> Settings:
-        """Return the settings in force at ``path``, with defaults."""
-        found = self._effective.get(path)
-        if found is None:
+        """Return the effective settings at ``path``, with defaults."""
+        settings = self._effective.get(path)
+        if settings is None:
             values: dict[str, str] = {}
             for ancestor in self.chain(path):
                 values.update(self.nodes.get(ancestor, {}))
-            found = self._effective[path] = Settings.model_validate(values)
-        return found
+            settings = self._effective[path] = Settings.model_validate(values)
+        return settings
 
     def source(self, path: str, name: str) -> str | None:
-        """Return the path whose value of ``name`` is in force, or None for the default."""
+        """Return the path whose value of ``name`` is effective, or None for the default."""
         check_name(name)
         holders = [p for p in self.chain(path) if name in self.nodes.get(p, {})]
         return holders[-1] if holders else None
@@ -211,7 +217,7 @@
                 yield place, service
 
     def has_kind(self, service: str, kind: str) -> bool:
-        """Return whether any place has a node for this request kind."""
+        """Return whether any place has a node for the request kind."""
         return (service, kind) in self._kinds
 
     def has_service(self, service: str) -> bool:
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -155,7 +155,7 @@
         ("[boxes]\n", "Did you mean 'box'?"),
         ("[limits]\nhead_mss = 3\n", "Did you mean 'head_ms'?"),
         ("[limits]\nhead_ms = soon\n", "head_ms = 'soon'"),
-        ("[box]\ncaller = example.org:80\n", "IP number"),
+        ("[box]\ncaller = example.org:80\n", "IP address"),
         ("nonsense", "no section headers"),
     ],
 )
--- a/tests/test_tree.py
+++ b/tests/test_tree.py
@@ -53,7 +53,7 @@
         (Change("/", "weight", "heavy"), "weight = 'heavy'"),
         (Change("/", "weight", "-1"), "ge 0"),
         (Change("a/b/c/d", "weight", "1"), "PLACE/SERVICE/KIND"),
-        (Change("hall-a/holdings", "targets", "host:80"), "IP number"),
+        (Change("hall-a/holdings", "targets", "host:80"), "IP address"),
         (Change("hall-a", "state", "paused"), "running | draining | stopped"),
     ],
 )
