--- a/dunlinnotch/config.py
+++ b/dunlinnotch/config.py
@@ -95,7 +95,7 @@
     """Destination and names of metrics."""
 
     statsd: NumericAddress | None = Field(
-        None, description="Address of the statsd server; no metrics are sent without it."
+        None, description="Address of the statsd server; unused if left out."
     )
     prefix: str = Field("dunlinnotch", description="Prefix of the metrics' names.")
 
