--- a/dunlinnotch/__init__.py
+++ b/dunlinnotch/__init__.py
@@ -1,8 +1,7 @@
 """A load balancer for servers whose load shifts in milliseconds.
 
-The names below are the coordination parts that others can embed.  They open
-no sockets and start no threads; clock and random generator are passed in.
-See ``docs/EMBEDDING.md``.
+The names exported here form the API for embedding.  They open no sockets and start no
+threads; clock and random generator are passed in.  See ``docs/EMBEDDING.md``.
 """
 
 from __future__ import annotations
@@ -91,7 +90,7 @@
 
 
 def __getattr__(name: str) -> object:
-    """Import a public name when it is first used, so that daemons import only what they run."""
+    """Import a public name on its first use, so that daemons import only what they need."""
     module = _MODULES.get(name)
     if module is None:
         msg = f"module {__name__!r} has no attribute {name!r}; it has: {', '.join(__all__)}"
--- a/dunlinnotch/_addresses.py
+++ b/dunlinnotch/_addresses.py
@@ -1,4 +1,4 @@
-"""Take ``host:port`` texts apart."""
+"""Splitting of ``host:port`` addresses."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class HostPort(NamedTuple):
-    """A host without brackets and a port, as sockets take them."""
+    """A host without brackets and a port, as socket functions expect them."""
 
     host: str
     port: int
 
 
 def split_address(address: Address) -> HostPort:
-    """Return the host and the port of a checked ``host:port``."""
+    """Return the host and the port of a valid ``host:port`` address."""
     host, _, port = address.rpartition(":")
     return HostPort(host.strip("[]"), int(port))
--- a/dunlinnotch/_clocks.py
+++ b/dunlinnotch/_clocks.py
@@ -1,4 +1,4 @@
-"""The clock by which a box judges how old something is."""
+"""Clock for ages and durations that include the time a box is suspended."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 
 def elapsed() -> Seconds:
-    """Return seconds that never step and go on while the box is suspended.
+    """Return monotonic seconds that include the time for which the box was suspended.
 
     Notes
     -----
-    The event loop's clock stands still meanwhile, so what it measures looks younger than
-    it is once the box goes on.
+    The event loop's clock stops while the box is suspended, so ages by that clock are too
+    low afterwards.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/dunlinnotch/_codec.py
+++ b/dunlinnotch/_codec.py
@@ -1,7 +1,7 @@
-"""Encode typed messages as msgpack or JSON, and check them on the way in.
+"""Encoding of typed messages as msgpack or JSON, and validated decoding.
 
-Shapes are checked by :class:`pydantic.TypeAdapter` against the dataclass's
-own annotations, so a message has one definition only.
+:class:`pydantic.TypeAdapter` validates against the annotations of the dataclass, so each
+message is defined only once.
 """
 
 from __future__ import annotations
@@ -20,34 +20,34 @@
 
 
 def _adapter(cls: Any) -> TypeAdapter[Any]:  # noqa: ANN401 - any type may be decoded
-    found = _adapters.get(cls)
-    if found is None:
-        found = _adapters[cls] = TypeAdapter(cls)
-    return found
+    adapter = _adapters.get(cls)
+    if adapter is None:
+        adapter = _adapters[cls] = TypeAdapter(cls)
+    return adapter
 
 
 def to_plain(value: object) -> Any:  # noqa: ANN401 - plain data of any shape
-    """Return ``value`` as plain lists, dicts, texts and numbers."""
+    """Return ``value`` as lists, dicts, strings and numbers."""
     return _adapter(type(value)).dump_python(value, mode="json")
 
 
 def from_plain(cls: type[T], plain: object) -> T:
-    """Return the ``cls`` held in plain data, under short or full names.
+    """Decode an instance of ``cls`` from plain data with aliases or field names.
 
     Raises
     ------
     ProtocolError
-        Names the first field that does not fit.
+        If the data is invalid; names the first invalid field and its value.
     """
     try:
-        found: T = _adapter(cls).validate_python(plain, by_alias=True, by_name=True)
+        decoded: T = _adapter(cls).validate_python(plain, by_alias=True, by_name=True)
     except ValidationError as error:
-        raise _unfit(cls, error) from None
-    return found
+        raise _protocol_error(cls, error) from None
+    return decoded
 
 
 def pack(value: object) -> bytes:
-    """Return ``value`` as one msgpack object, fields under their short names."""
+    """Return ``value`` as one msgpack object, with aliases for field names."""
     plain = _adapter(type(value)).dump_python(value, mode="json", by_alias=True)
     packed: bytes = msgpack.packb(plain)
     return packed
@@ -59,22 +59,22 @@
 
 
 def from_json(cls: type[T], data: bytes) -> T:
-    """Return the ``cls`` held in JSON text.
+    """Decode an instance of ``cls`` from JSON text.
 
     Raises
     ------
     ProtocolError
-        If the text is not JSON or does not fit.
+        If the text is not JSON or invalid; names the first invalid field and its value.
     """
     try:
-        found: T = _adapter(cls).validate_json(data, by_alias=True, by_name=True)
+        decoded: T = _adapter(cls).validate_json(data, by_alias=True, by_name=True)
     except ValidationError as error:
-        raise _unfit(cls, error) from None
-    return found
+        raise _protocol_error(cls, error) from None
+    return decoded
 
 
-def _unfit(cls: type[T], error: ValidationError) -> ProtocolError:
+def _protocol_error(cls: type[T], error: ValidationError) -> ProtocolError:
     first = error.errors()[0]
-    where = ".".join(str(part) for part in first["loc"])
-    msg = f"{cls.__name__}.{where}: {first['msg']}; received {first['input']!r:.80}"
+    path = ".".join(str(part) for part in first["loc"])
+    msg = f"{cls.__name__}.{path}: {first['msg']}; received {first['input']!r:.80}"
     return ProtocolError(msg)
--- a/dunlinnotch/_logs.py
+++ b/dunlinnotch/_logs.py
@@ -1,4 +1,4 @@
-"""JSON-lines logging, one object a line."""
+"""Logging as JSON lines."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 if TYPE_CHECKING:
     from dunlinnotch.types import Clock
 
-#: Attribute of a log record that carries the structured fields.
+#: Attribute of a log record that holds the structured fields.
 FIELDS = "fields"
-#: Events of which there may be one for each request: they are bounded.
+#: Events that may occur once per request, so that their rate is limited.
 DECISIONS = frozenset({"route", "refused", "addresses", "probe", "evidence"})
 
 _ENCODER = json.JSONEncoder(default=str, separators=(",", ":"))
@@ -49,23 +49,23 @@
 
 
 class DecisionLimit(logging.Filter):
-    """Let at most so many decision lines through in a second, and count the rest.
+    """Limit the rate of the events in ``DECISIONS`` and count those left out.
 
     Parameters
     ----------
-    most : int
-        Lines in a second.
+    max_per_s : int
+        Maximum number of such events per second.
     clock : callable, default time.monotonic
 
     Notes
     -----
-    The first decision line after some were left out carries their number as
-    ``left_out``, so counts stay whole.
+    The next event that is written has the number of those left out as ``left_out``, so
+    that events can still be counted.
     """
 
-    def __init__(self, most: int, *, clock: Clock = time.monotonic) -> None:
+    def __init__(self, max_per_s: int, *, clock: Clock = time.monotonic) -> None:
         super().__init__()
-        self._most = most
+        self._max_per_s = max_per_s
         self._clock = clock
         self._lock = threading.Lock()
         self._second = 0
@@ -80,7 +80,7 @@
             second = int(self._clock())
             if second != self._second:
                 self._second, self._passed = second, 0
-            if self._passed >= self._most:
+            if self._passed >= self._max_per_s:
                 self._left_out += 1
                 return False
             self._passed += 1
@@ -98,7 +98,7 @@
     level : str, default "INFO"
         A level name known to :mod:`logging`.
     decisions_per_s : int, default 1000
-        Most decision lines in a second; the rest are counted.
+        Maximum number of ``DECISIONS`` events per second; others are counted.
     """
     _configure(logging.StreamHandler(sys.stderr), level, decisions_per_s)
 
@@ -106,7 +106,7 @@
 def _configure(handler: logging.Handler, level: str, decisions_per_s: int) -> None:
     handler.setFormatter(JsonFormatter())
     handler.addFilter(DecisionLimit(decisions_per_s))
-    # A record needs neither thread, process nor source line; finding them costs time.
+    # Records do not include thread, process and source line; skipping them saves time.
     logging.logThreads = False
     logging.logProcesses = False
     logging.logMultiprocessing = False
@@ -115,47 +115,52 @@
 
 
 class BoundedStream:
-    """Write lines to a descriptor without ever waiting; drop and count what it can't take.
+    """Write text to a file descriptor without blocking; drop text beyond a limit.
 
     Parameters
     ----------
     descriptor : int
-        Made non-blocking.
-    most : int, default 262144
-        Bytes held while the reader is slow.
+        File descriptor, which becomes non-blocking.
+    max_buffered : int, default 262144
+        Maximum bytes that are buffered while the reader is slow.
+
+    Attributes
+    ----------
+    dropped : int
+        Number of texts dropped because the buffer was full.
     """
 
-    def __init__(self, descriptor: int, *, most: int = 256 * 1024) -> None:
+    def __init__(self, descriptor: int, *, max_buffered: int = 256 * 1024) -> None:
         os.set_blocking(descriptor, False)
         self._descriptor = descriptor
-        self._most = most
-        self._held = bytearray()
+        self._max_buffered = max_buffered
+        self._buffer = bytearray()
         self.dropped = 0
 
     def write(self, text: str) -> None:
-        """Write a text, or hold it, or drop it."""
+        """Write a text as far as possible; buffer the rest, or drop all of it if full."""
         data = text.encode()
-        if len(self._held) + len(data) > self._most:
+        if len(self._buffer) + len(data) > self._max_buffered:
             self.dropped += 1
-            self._push()
+            self._write_buffer()
             return
-        self._held += data
-        self._push()
+        self._buffer += data
+        self._write_buffer()
 
     def flush(self) -> None:
-        """Write what is held, as far as the reader takes it."""
-        self._push()
+        """Write the buffered text as far as possible without blocking."""
+        self._write_buffer()
 
-    def _push(self) -> None:
-        while self._held:
+    def _write_buffer(self) -> None:
+        while self._buffer:
             try:
-                written = os.write(self._descriptor, self._held)
+                written = os.write(self._descriptor, self._buffer)
             except BlockingIOError:
                 return
             except OSError:
-                self._held.clear()  # Nobody reads any more.
+                self._buffer.clear()  # The reader has closed its end.
                 return
-            del self._held[:written]
+            del self._buffer[:written]
 
 
 def configure_stream(
@@ -168,7 +173,7 @@
     stream : BoundedStream
     level : str, default "INFO"
     decisions_per_s : int, default 200
-        Most decision lines in a second; the rest are counted.
+        Maximum number of ``DECISIONS`` events per second; others are counted.
     """
     _configure(logging.StreamHandler(stream), level, decisions_per_s)
 
--- a/dunlinnotch/_signals.py
+++ b/dunlinnotch/_signals.py
@@ -1,4 +1,4 @@
-"""Hear signals that ask the process to end, without a lock taken in their handler."""
+"""Handling of termination signals without taking a lock in the signal handler."""
 
 from __future__ import annotations
 
@@ -10,32 +10,32 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-_ENDING = (signal.SIGTERM, signal.SIGINT)
+_TERMINATION_SIGNALS = (signal.SIGTERM, signal.SIGINT)
 
 
 class EndSignals:
-    """SIGTERM and SIGINT, from when this is made in the main thread.
+    """Receives SIGTERM and SIGINT; to be created in the main thread.
 
     Notes
     -----
-    A handler runs between two steps of the main thread.  Were it to set an event or start a
-    thread, it would wait for ever for a lock that the step before has taken, so the
-    interpreter writes the signal to a pipe instead.
+    A handler interrupts the main thread at any point.  If it set an event or started a
+    thread, it could deadlock on a lock that the main thread holds.  The interpreter writes
+    the signal number to a pipe instead, from which :meth:`wait` reads.
     """
 
     def __init__(self) -> None:
         self._read, write = os.pipe()
         os.set_blocking(write, False)
         signal.set_wakeup_fd(write)
-        for number in _ENDING:
+        for number in _TERMINATION_SIGNALS:
             signal.signal(number, _do_nothing)
 
     def wait(self) -> None:
-        """Return once the process is asked to end, or at once if it was."""
+        """Wait for the next signal; return at once if one is pending."""
         os.read(self._read, 1)
 
     def each(self, action: Callable[[], None]) -> None:
-        """Call something each time that the process is asked to end, from a thread."""
+        """Call ``action`` for each signal, in a separate thread."""
         threading.Thread(target=self._call_each, args=(action,), daemon=True).start()
 
     def _call_each(self, action: Callable[[], None]) -> None:
@@ -45,4 +45,4 @@
 
 
 def _do_nothing(*_: object) -> None:
-    """Keep a signal from ending the process; the pipe tells of it."""
+    """Replace the default action, which ends the process."""
--- a/dunlinnotch/_wire.py
+++ b/dunlinnotch/_wire.py
@@ -1,4 +1,4 @@
-"""The mark of dataclasses that travel; apart from the codec, so that it costs no import."""
+"""Decorator of dataclasses for messages, separate so that it does not import the codec."""
 
 from __future__ import annotations
 
@@ -8,5 +8,11 @@
 
 
 def wire(cls: type[T]) -> type[T]:
-    """Mark a dataclass whose annotations are evaluated when it is decoded."""
+    """Mark a dataclass that is sent in messages.
+
+    Notes
+    -----
+    The codec evaluates the annotations at run time, so their imports must not be under
+    ``TYPE_CHECKING``.
+    """
     return cls
--- a/dunlinnotch/errors.py
+++ b/dunlinnotch/errors.py
@@ -1,7 +1,7 @@
-"""Exceptions with stable codes, for misuse and bad input at a boundary.
+"""Exceptions with stable codes, for misuse and invalid input.
 
-What may happen to a call or to an edit in normal service is a value
-(see :mod:`dunlinnotch.protocol.outcome`), never an exception.
+Expected outcomes of calls and edits are values (see :mod:`dunlinnotch.protocol.outcome`),
+not exceptions.
 """
 
 from __future__ import annotations
@@ -15,8 +15,7 @@
     Attributes
     ----------
     code : str
-        Stable identifier, the same in logs, in exit messages and in
-        ``docs/OPERATIONS.md``.
+        Stable identifier, used in logs, exit messages and ``docs/OPERATIONS.md``.
     """
 
     code: ClassVar[str] = "internal"
@@ -29,13 +28,13 @@
 
 
 class ConfigError(DunlinnotchError):
-    """The daemon's own INI file can't be used."""
+    """The INI file of a daemon can't be read or is invalid."""
 
     code = "config-invalid"
 
 
 class ProtocolError(DunlinnotchError):
-    """A message between our own processes does not have the agreed shape."""
+    """A message between processes of this package is malformed."""
 
     code = "protocol-invalid"
 
@@ -43,7 +42,7 @@
 class PlatformUnavailableError(DunlinnotchError):
     """The platform's table service or object store gave no usable answer.
 
-    Whether a write took effect is not known to the one who sees this.
+    A write may have taken effect nevertheless.
     """
 
     code = "platform-unavailable"
@@ -56,7 +55,7 @@
 
 
 class BoxUnreachableError(DunlinnotchError):
-    """None of the boxes named could be reached."""
+    """None of the given boxes could be reached."""
 
     code = "box-unreachable"
 
--- a/dunlinnotch/state/__init__.py
+++ b/dunlinnotch/state/__init__.py
@@ -1,1 +1,1 @@
-"""What a box knows: settings tree, target records, box rows, ledger, leases."""
+"""State held by a box: settings, tables, targets, boxes, crash records, ledger, leases."""
--- a/dunlinnotch/state/boxes.py
+++ b/dunlinnotch/state/boxes.py
@@ -1,7 +1,6 @@
-"""Rows about boxes, each written by the one box that it describes.
+"""Rows that describe boxes, each written by the box itself.
 
-Rows are most of what boxes send to each other, so their fields have short
-names on the wire.
+Most messages between boxes consist of rows, so the fields have short aliases.
 """
 
 from __future__ import annotations
@@ -19,13 +18,13 @@
 @wire
 @dataclass(frozen=True, slots=True)
 class LeavingTarget:
-    """A target that has told the box that it leaves.
+    """A target that has reported to the box that it is leaving.
 
     Parameters
     ----------
     address : str
     incarnation : str or None
-        The start of the target that leaves; a later start does not.
+        Incarnation that is leaving; a later one is not.
     """
 
     address: Address
@@ -35,29 +34,30 @@
 @wire
 @dataclass(frozen=True, slots=True)
 class BoxRow:
-    """What one box says of itself.
+    """State that one box publishes to its peers.
 
     Parameters
     ----------
     name : str
     incarnation : int
-        Grows with each start of the box; wall-clock nanoseconds of the start.
+        Time of the box's start in Unix nanoseconds, which rises with each start.
     seq : int
-        Grows with each row of this incarnation.
+        Number that rises with each row of this incarnation.
     place : str
     address : str
-        Where callers connect.
+        Address for callers.
     peer : str
-        Where peers connect.
+        Address for peers.
     state : RunState
     version : int
-        The settings version in force on the box.
+        Version of the settings that are effective at the box.
     in_flight : int
         Calls that the box is serving.
     tick : float
-        The box's own monotonic clock, in seconds, when the row was made.
+        Time at which the row was made, by the box's monotonic clock, in seconds.
     leaving : tuple of LeavingTarget
-        What targets have told this box itself; hearsay is not passed on.
+        Targets that reported to this box itself that they are leaving; reports of peers
+        are not forwarded.
     """
 
     name: Annotated[str, Field(alias="n")]
@@ -74,5 +74,5 @@
 
     @property
     def recency(self) -> tuple[int, int]:
-        """Order of rows of one box: the larger one is newer."""
+        """Order among the rows of one box; the larger one is newer."""
         return (self.incarnation, self.seq)
--- a/dunlinnotch/types.py
+++ b/dunlinnotch/types.py
@@ -7,11 +7,11 @@
 #: Monotonic time in seconds, as given by :func:`time.monotonic`.
 Seconds = float
 
-#: A source of monotonic time.
+#: Function that returns monotonic time.
 Clock = Callable[[], Seconds]
 
 #: ``host:port`` with a numeric IP address.
 Address = str
 
-#: The number of a settings tree; grows by one with each accepted edit.
+#: Version of a settings tree; rises by one with each accepted edit.
 Version = int
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,3 +1,5 @@
+"""The rate of decision events is limited, and each record is one JSON line."""
+
 import json
 import logging
 
@@ -5,7 +7,7 @@
 from tests import FakeClock
 
 
-def records(limit, count, name="route"):
+def filtered(limit, count, name="route"):
     passed = []
     for _ in range(count):
         record = logging.makeLogRecord({"msg": name, "levelno": logging.INFO, "fields": {}})
@@ -14,18 +16,18 @@
     return passed
 
 
-def test_decision_lines_are_limited_and_the_rest_are_counted():
+def test_decision_events_are_limited_and_those_left_out_counted():
     clock = FakeClock()
     limit = _logs.DecisionLimit(3, clock=clock)
-    assert len(records(limit, 10)) == 3
+    assert len(filtered(limit, 10)) == 3
     clock.advance(1.0)
-    later = records(limit, 2)
+    later = filtered(limit, 2)
     assert [r.fields.get("left_out") for r in later] == [7, None]
 
 
-def test_other_lines_are_never_left_out():
+def test_other_events_are_never_left_out():
     limit = _logs.DecisionLimit(0, clock=FakeClock())
-    assert len(records(limit, 5, "settings-edit")) == 5
+    assert len(filtered(limit, 5, "settings-edit")) == 5
 
 
 def test_record_is_one_json_object_on_one_line():
--- a/tests/test_tree.py
+++ b/tests/test_tree.py
@@ -1,3 +1,5 @@
+"""Settings are inherited along paths, validated, and survive export and encoding."""
+
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
@@ -8,7 +10,7 @@
 from dunlinnotch.state.tree import Change, Edit, SettingsTree
 
 
-def grow(*changes: Change) -> SettingsTree:
+def build_tree(*changes: Change) -> SettingsTree:
     tree = SettingsTree()
     for number, change in enumerate(changes, 1):
         tree = tree.apply(Edit(f"e{number}", number - 1, "anna", (change,), number))
@@ -28,7 +30,7 @@
     ],
 )
 def test_deeper_nodes_and_named_places_override(path, weight):
-    tree = grow(
+    tree = build_tree(
         Change("/", "weight", "8"),
         Change("hall-a", "weight", "4"),
         Change("*/holdings", "weight", "2"),
@@ -39,7 +41,7 @@
 
 
 def test_removed_value_is_inherited_again():
-    tree = grow(Change("/", "rank", "3"), Change("hall-a", "rank", "1"))
+    tree = build_tree(Change("/", "rank", "3"), Change("hall-a", "rank", "1"))
     assert tree.source("hall-a", "rank") == "hall-a"
     tree = tree.apply(Edit("x", 2, "anna", (Change("hall-a", "rank", None),), 3))
     assert tree.effective("hall-a").rank == 3
@@ -47,7 +49,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "words"),
+    ("change", "expected"),
     [
         (Change("/", "wieght", "1"), "did you mean 'weight'"),
         (Change("/", "weight", "heavy"), "weight = 'heavy'"),
@@ -57,10 +59,10 @@
         (Change("hall-a", "state", "paused"), "running | draining | stopped"),
     ],
 )
-def test_bad_change_names_value_and_what_is_allowed(change, words):
+def test_bad_change_names_value_and_what_is_allowed(change, expected):
     with pytest.raises(SettingsError) as caught:
         change.check()
-    assert words in str(caught.value)
+    assert expected in str(caught.value)
 
 
 PATHS = st.sampled_from(["/", "hall-a", "*/holdings", "hall-a/holdings", "hall-b/ingest/search"])
@@ -75,16 +77,16 @@
 
 @given(CHANGES, CHANGES)
 def test_import_of_an_export_gives_the_same_tree(ours, theirs):
-    wanted, other = grow(*ours), grow(*theirs)
+    wanted, other = build_tree(*ours), build_tree(*theirs)
     changes = tuple(import_changes(other, export_ini(wanted)))
     assert changes or other.nodes == wanted.nodes
     if changes:
-        made = other.apply(Edit("i", other.version, "anna", changes, other.version + 1))
-        assert made.nodes == wanted.nodes
+        result = other.apply(Edit("i", other.version, "anna", changes, other.version + 1))
+        assert result.nodes == wanted.nodes
 
 
 @given(CHANGES)
 def test_tree_survives_the_codec(changes):
-    tree = grow(*changes)
+    tree = build_tree(*changes)
     assert _codec.from_json(SettingsTree, _codec.to_json(tree)) == tree
     assert _codec.from_plain(SettingsTree, _codec.to_plain(tree)) == tree
