--- a/dunlinnotch/_logs.py
+++ b/dunlinnotch/_logs.py
@@ -138,7 +138,7 @@
         self.dropped = 0
 
     def write(self, text: str) -> None:
-        """Write a text as far as possible; buffer the rest, or drop all of it if full."""
+        """Write a text as far as possible and buffer the rest; drop it if the buffer is full."""
         data = text.encode()
         if len(self._buffer) + len(data) > self._max_buffered:
             self.dropped += 1
--- a/dunlinnotch/state/instances.py
+++ b/dunlinnotch/state/instances.py
@@ -82,7 +82,7 @@
     removed : bool, default False
         Whether it was removed from the list, for example replaced by a newer start.
     missing_since : float, optional
-        Time at which its row disappeared, while it is entries as a last resort.
+        Time at which its row disappeared, while it is kept as a last resort.
     lost : bool, default False
         Whether the row disappeared because the store lost it, not because it was removed.
     healthy : bool, default True
