--- a/tests/test_crash_news.py
+++ b/tests/test_crash_news.py
@@ -150,7 +150,7 @@
     boxes = TellingBoxes(6).settled()
     boxes.see("box-0", TARGETS)
     late = boxes.logs["box-5"]
-    late._seen.clear()
+    late._records.clear()
     boxes.news["box-5"]._publish()
     boxes.turn()
     boxes.turn()
@@ -334,7 +334,7 @@
         # Its place hears none of the others any more, and missed the news.
         first = next(m for m in boxes.meshes.values() if m.place == "lekki" and m.is_first())
         log = boxes.logs[first.name]
-        log._seen.clear()
+        log._records.clear()
         boxes.clock.now += 30
         assert first.silent_places()
         await work(boxes.news[first.name], lambda: log.quarantine_left("worst") > 0)
