--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -185,7 +185,7 @@
 
 
 def _since_without_floor(self, version, epoch=0):
-    self._gone_floor = 0
+    self._tombstone_floor = 0
     return _since(self, version, epoch)
 
 
@@ -366,7 +366,7 @@
     ),
     Mutant("try any number of targets", Forwarder, "_may_retry", _any_number_of_tries, ENTRY),
     Mutant("give targets three seconds more", WorkerDialect, "request_headers", _more_time, ENTRY),
-    Mutant("let no target leave", InstanceList, "_take_leaving", _leave_nothing, ENTRY),
+    Mutant("let no target leave", InstanceList, "_retire", _leave_nothing, ENTRY),
     Mutant(
         "tell a peer only what one saw",
         TableReplica,
