--- a/dunlinnotch/daemon/operator.py
+++ b/dunlinnotch/daemon/operator.py
@@ -77,7 +77,7 @@
         except DunlinnotchError as error:
             self._send(exchange, 400, Failure(error.code, str(error)))
 
-    def bad_head(self, reason: Reason, detail: str) -> HeadRefusal:
+    def refuse_head(self, reason: Reason, detail: str) -> HeadRefusal:
         """Return the answer to an invalid request head."""
         return HeadRefusal(400, [_JSON], _codec.to_json(Failure(reason.value, detail)))
 
--- a/dunlinnotch/standins/common.py
+++ b/dunlinnotch/standins/common.py
@@ -20,14 +20,14 @@
 JSON = Header("Content-Type", "application/json")
 
 
-def bad_head(reason: Reason, detail: str) -> HeadRefusal:
+def refuse_head(reason: Reason, detail: str) -> HeadRefusal:
     """Return the answer to a head that can't be used."""
     return HeadRefusal(400, [JSON], f"{reason}: {detail}".encode())
 
 
 def serve(handler: Handler, address: Address) -> HttpServer:
     """Serve ``handler`` at ``host:port`` (port 0: one from the kernel)."""
-    server = HttpServer(split_address(address), handler, bad_head, idle_s=600.0)
+    server = HttpServer(split_address(address), handler, refuse_head, idle_s=600.0)
     server.start_in_background()
     return server
 
--- a/dunlinnotch/transport/front.py
+++ b/dunlinnotch/transport/front.py
@@ -148,7 +148,7 @@
         elif not result.begun and result.reason is not Reason.CALLER_GONE:
             self._refuse(exchange, result, call)
 
-    def bad_head(self, reason: Reason, detail: str) -> HeadRefusal:
+    def refuse_head(self, reason: Reason, detail: str) -> HeadRefusal:
         """Return the answer to a head that can't be used."""
         result = CallResult(Outcome.NOT_RUN, _STATUS_OF.get(reason, _BAD_REQUEST), reason, detail)
         event(_log, "refused", reason=reason, detail=detail)
--- a/dunlinnotch/transport/server.py
+++ b/dunlinnotch/transport/server.py
@@ -64,7 +64,7 @@
     body: bytes
 
 
-class BadHead(Protocol):
+class HeadRefuser(Protocol):
     """Turns a head that can't be used into an answer."""
 
     def __call__(self, reason: Reason, detail: str) -> HeadRefusal:
@@ -121,7 +121,7 @@
     def refuse(self, reason: Reason, detail: str) -> None:
         """Answer a head that can't be used, then let the connection be closed."""
         self.answered = True
-        refusal: HeadRefusal = self.server.bad_head(reason, detail)
+        refusal: HeadRefusal = self.server.refuse_head(reason, detail)
         headers = [*refusal.headers, Header("Connection", "close")]
         head = format_head(refusal.status, "", headers, length=len(refusal.body))
         try:
@@ -179,7 +179,7 @@
     bind : (str, int)
         Address; port 0 takes one from the kernel.
     handler : Handler
-    bad_head : BadHead
+    refuse_head : HeadRefuser
     connections : int, default 1000
         Callers' connections served at once.
     head_s : float, default 5.0
@@ -197,7 +197,7 @@
         self,
         bind: tuple[str, int],
         handler: Handler,
-        bad_head: BadHead,
+        refuse_head: HeadRefuser,
         *,
         connections: int = 1000,
         head_s: Seconds = 5.0,
@@ -205,7 +205,7 @@
     ) -> None:
         super().__init__(bind, _Gateway, minthreads=1, maxthreads=1)
         self.handler = handler
-        self.bad_head = bad_head
+        self.refuse_head = refuse_head
         self.head_s = head_s
         self.closing = False
         self.timeout = _WRITE_S  # type: ignore[assignment]
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -8,7 +8,7 @@
 from dunlinnotch.transport.server import HEAD_BYTES, HeadRefusal, HttpServer
 
 
-def bad_head(reason, detail):
+def refuse_head(reason, detail):
     result = CallResult(Outcome.NOT_RUN, 400, reason, detail)
     return HeadRefusal(400, [Header(OUTCOME, result.outcome), Header(REASON, reason)], b"")
 
@@ -21,7 +21,7 @@
         seen.append(b"".join(exchange.body()))
         exchange.reply(200, [], b"%d" % len(seen))
 
-    server = HttpServer(("127.0.0.1", 0), handler, bad_head, head_s=1.0)
+    server = HttpServer(("127.0.0.1", 0), handler, refuse_head, head_s=1.0)
     server.seen = seen
     server.start_in_background()
     yield server
