--- a/dunlinnotch/daemon/box.py
+++ b/dunlinnotch/daemon/box.py
@@ -86,7 +86,7 @@
         )
         operator = OperatorPort(self.core, self.links, peer_bytes=lambda: self.peer_bytes)
         self._operator_server = HttpServer(
-            split_address(config.box.operator), operator, operator.refuse_head, connections=64
+            split_address(config.box.operator), operator, operator.refuse_head, max_connections=64
         )
         sys.setswitchinterval(_THREAD_SWITCH_INTERVAL_S)
 
@@ -146,9 +146,9 @@
             split_address(self.config.box.caller),
             front,
             front.refuse_head,
-            connections=limits.connections,
-            head_s=limits.head_ms / 1000,
-            idle_s=limits.idle_ms / 1000,
+            max_connections=limits.connections,
+            head_timeout_s=limits.head_ms / 1000,
+            idle_timeout_s=limits.idle_ms / 1000,
         )
 
     def run(self) -> None:
--- a/dunlinnotch/standins/common.py
+++ b/dunlinnotch/standins/common.py
@@ -27,7 +27,7 @@
 
 def serve(handler: Handler, address: Address) -> HttpServer:
     """Serve ``handler`` at ``host:port`` (port 0: one from the kernel)."""
-    server = HttpServer(split_address(address), handler, refuse_head, idle_s=600.0)
+    server = HttpServer(split_address(address), handler, refuse_head, idle_timeout_s=600.0)
     server.start_in_background()
     return server
 
--- a/dunlinnotch/transport/server.py
+++ b/dunlinnotch/transport/server.py
@@ -33,7 +33,7 @@
     from dunlinnotch.types import Seconds
 
 #: Largest request line and head together, in bytes.
-HEAD_BYTES = 32 * 1024
+MAX_HEAD_BYTES = 32 * 1024
 #: How often slow heads are looked for, in seconds.
 _JANITOR_S = 0.5
 #: How long a thread waits on an idle connection before it looks around, in seconds.
@@ -87,7 +87,7 @@
 
     def parse_request(self) -> None:
         """Read the head within the time limit."""
-        self.conn.limit = time.monotonic() + self.server.head_s
+        self.conn.limit = time.monotonic() + self.server.head_timeout_s
         try:
             super().parse_request()
         finally:
@@ -180,17 +180,17 @@
         Address; port 0 takes one from the kernel.
     handler : Handler
     refuse_head : HeadRefuser
-    connections : int, default 1000
+    max_connections : int, default 1000
         Callers' connections served at once.
-    head_s : float, default 5.0
+    head_timeout_s : float, default 5.0
         Seconds in which a head must be whole.
-    idle_s : float, default 60.0
+    idle_timeout_s : float, default 60.0
         Seconds after which an idle connection is closed.
     """
 
     ConnectionClass = ServerConnection
     request_queue_size = 512
-    max_request_header_size = HEAD_BYTES
+    max_request_header_size = MAX_HEAD_BYTES
     keep_alive_conn_limit = 1_000_000
 
     def __init__(
@@ -199,18 +199,18 @@
         handler: Handler,
         refuse_head: HeadRefuser,
         *,
-        connections: int = 1000,
-        head_s: Seconds = 5.0,
-        idle_s: Seconds = 60.0,
+        max_connections: int = 1000,
+        head_timeout_s: Seconds = 5.0,
+        idle_timeout_s: Seconds = 60.0,
     ) -> None:
         super().__init__(bind, _Gateway, minthreads=1, maxthreads=1)
         self.handler = handler
         self.refuse_head = refuse_head
-        self.head_s = head_s
+        self.head_timeout_s = head_timeout_s
         self.closing = False
         self.timeout = _WRITE_S  # type: ignore[assignment]
-        self._idle_s = idle_s
-        self._connections_max = connections
+        self._idle_timeout_s = idle_timeout_s
+        self._max_connections = max_connections
         self._live: set[ServerConnection] = set()
         self._live_lock = threading.Lock()
         self._closed = threading.Event()
@@ -244,11 +244,11 @@
     def process_conn(self, conn: ServerConnection) -> None:
         """Serve a new connection on a thread of its own."""
         with self._live_lock:
-            full = len(self._live) >= self._connections_max
+            full = len(self._live) >= self._max_connections
             if not full:
                 self._live.add(conn)
         if full:
-            conn.refuse(Reason.TOO_MANY_CONNECTIONS, f"at most {self._connections_max} connections")
+            conn.refuse(Reason.TOO_MANY_CONNECTIONS, f"at most {self._max_connections} connections")
             conn.close()
             return
         threading.Thread(target=self._serve, args=(conn,), name="http-conn", daemon=True).start()
@@ -258,7 +258,9 @@
             while self._wait_readable(conn):
                 keep = bool(conn.communicate())  # type: ignore[no-untyped-call]
                 if conn.timed_out and not conn.answered:
-                    conn.refuse(Reason.HEAD_TIMEOUT, f"no whole head within {self.head_s} s")
+                    conn.refuse(
+                        Reason.HEAD_TIMEOUT, f"no whole head within {self.head_timeout_s} s"
+                    )
                 if not keep:
                     return
         finally:
@@ -271,7 +273,7 @@
             return True
         poller = select.poll()
         poller.register(conn.socket, select.POLLIN)
-        until = time.monotonic() + self._idle_s
+        until = time.monotonic() + self._idle_timeout_s
         while time.monotonic() < until:
             if poller.poll(_IDLE_LOOK_S * 1000):
                 return not peer_closed(conn.socket)
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -5,7 +5,7 @@
 from dunlinnotch.protocol.http import OUTCOME, REASON
 from dunlinnotch.protocol.outcome import CallResult, Outcome
 from dunlinnotch.state.heads import Header
-from dunlinnotch.transport.server import HEAD_BYTES, HeadRefusal, HttpServer
+from dunlinnotch.transport.server import MAX_HEAD_BYTES, HeadRefusal, HttpServer
 
 
 def refuse_head(reason, detail):
@@ -21,7 +21,7 @@
         seen.append(b"".join(exchange.body()))
         exchange.reply(200, [], b"%d" % len(seen))
 
-    server = HttpServer(("127.0.0.1", 0), handler, refuse_head, head_s=1.0)
+    server = HttpServer(("127.0.0.1", 0), handler, refuse_head, head_timeout_s=1.0)
     server.seen = seen
     server.start_in_background()
     yield server
@@ -55,7 +55,7 @@
         (HEAD + b"X-Odd: a\nContent-Length: 3\r\n\r\nabc", b"head-invalid"),
         (HEAD + b"X Odd: a\r\n\r\n", b"head-invalid"),
         (HEAD + b" folded: a\r\n\r\n", b"head-invalid"),
-        (HEAD + b"X-Big: " + b"a" * HEAD_BYTES + b"\r\n\r\n", b"head-too-large"),
+        (HEAD + b"X-Big: " + b"a" * MAX_HEAD_BYTES + b"\r\n\r\n", b"head-too-large"),
         (HEAD + b"".join(b"X-%d: a\r\n" % n for n in range(101)) + b"\r\n", b"head-invalid"),
         (b"GET / HTTP/1.0\r\nHost: x\r\n\r\n", b"head-invalid"),
         (b"GET /\x0b HTTP/1.1\r\nHost: x\r\n\r\n", b"head-invalid"),
