--- a/dunlinnotch/transport/probes.py
+++ b/dunlinnotch/transport/probes.py
@@ -7,7 +7,7 @@
 import urllib3
 from urllib3.exceptions import HTTPError
 
-from dunlinnotch.transport.targets import read_report
+from dunlinnotch.transport.targets import parse_load_report
 
 if TYPE_CHECKING:
     from dunlinnotch.protocol.attempt import LoadReport
@@ -27,4 +27,4 @@
         response = _http.request("GET", f"http://{target}{HEALTH_PATH}")
     except (HTTPError, OSError):
         return None
-    return read_report(response)
+    return parse_load_report(response)
--- a/dunlinnotch/transport/targets.py
+++ b/dunlinnotch/transport/targets.py
@@ -44,22 +44,22 @@
     from dunlinnotch.protocol.http import Call
     from dunlinnotch.types import Address, Clock, Seconds
 
-CHUNK = 64 * 1024
+CHUNK_BYTES = 64 * 1024
 #: Idle connections older than this are closed, since a target may be about to do so.
-IDLE_S = 15.0
+IDLE_TIMEOUT_S = 15.0
 #: Longest time to wait for a new connection.
-CONNECT_S = 1.0
+CONNECT_TIMEOUT_S = 1.0
 #: Longest time to wait for the next part of an answer's body.
-BODY_S = 30.0
-_REFUSAL_BYTES = 64 * 1024
+BODY_TIMEOUT_S = 30.0
+_MAX_REFUSAL_BYTES = 64 * 1024
 #: Largest head of an answer.
-HEAD_BYTES = 64 * 1024
+MAX_HEAD_BYTES = 64 * 1024
 _BODILESS = frozenset({204, 304})
 _INTERIM = re.compile(rb"HTTP/1\.[01] 1")
 
 
 @dataclass(slots=True)
-class _Idle:
+class _IdleConnection:
     """A connection that may be used again."""
 
     conn: HTTPConnection
@@ -85,10 +85,10 @@
         self._limit = limit
         self._clock = clock
         self._lock = threading.Lock()
-        self._idle: dict[Address, deque[_Idle]] = {}
+        self._idle: dict[Address, deque[_IdleConnection]] = {}
         self._open: dict[Address, int] = {}
 
-    def take(self, target: Address, *, fresh: bool) -> HTTPConnection | None:
+    def acquire(self, target: Address, *, fresh: bool) -> HTTPConnection | None:
         """Return an idle connection, or one not yet connected.
 
         Returns
@@ -98,7 +98,7 @@
         """
         if not fresh:
             while (idle := self._pop_idle(target)) is not None:
-                if self._sound(idle):
+                if self._is_usable(idle):
                     return idle.conn
                 self.discard(target, idle.conn)
         with self._lock:
@@ -110,12 +110,12 @@
                 return None
             self._open[target] = self._open.get(target, 0) + 1
         at = split_address(target)
-        return HTTPConnection(at.host, at.port, timeout=CONNECT_S)
+        return HTTPConnection(at.host, at.port, timeout=CONNECT_TIMEOUT_S)
 
-    def give_back(self, target: Address, conn: HTTPConnection) -> None:
+    def release(self, target: Address, conn: HTTPConnection) -> None:
         """Keep a connection whose last answer was read to its end."""
         with self._lock:
-            self._idle.setdefault(target, deque()).append(_Idle(conn, self._clock()))
+            self._idle.setdefault(target, deque()).append(_IdleConnection(conn, self._clock()))
 
     def discard(self, target: Address, conn: HTTPConnection) -> None:
         """Close a connection for good."""
@@ -128,14 +128,14 @@
         with self._lock:
             return self._open.get(target, 0)
 
-    def _pop_idle(self, target: Address) -> _Idle | None:
+    def _pop_idle(self, target: Address) -> _IdleConnection | None:
         with self._lock:
             idle = self._idle.get(target)
             return idle.pop() if idle else None
 
-    def _sound(self, idle: _Idle) -> bool:
+    def _is_usable(self, idle: _IdleConnection) -> bool:
         """Return whether nothing has come in on an idle connection, not even its end."""
-        if self._clock() - idle.since > IDLE_S or idle.conn.sock is None:
+        if self._clock() - idle.since > IDLE_TIMEOUT_S or idle.conn.sock is None:
             return False
         poller = select.poll()
         poller.register(idle.conn.sock, select.POLLIN)
@@ -160,7 +160,7 @@
         self, call: Call, target: Address, body: RequestBody, watch: CallerWatch, *, fresh: bool
     ) -> AttemptResult:
         """Send ``call`` to ``target`` and wait for the head of its answer."""
-        conn = self._pools.take(target, fresh=fresh)
+        conn = self._pools.acquire(target, fresh=fresh)
         if conn is None:
             return NotSent(Reason.CONNECT_FAILED, "this box's share of connections is in use")
         result: AttemptResult | None = None
@@ -179,7 +179,7 @@
             return NotSent(
                 Reason.DEADLINE_EXPIRED, "the deadline passed before a connection was open"
             )
-        conn.timeout = min(CONNECT_S, left)
+        conn.timeout = min(CONNECT_TIMEOUT_S, left)
         try:
             conn.connect()
         except (OSError, HTTPError) as error:
@@ -208,9 +208,9 @@
 
     def _send(self, conn: HTTPConnection, call: Call, body: RequestBody) -> Broken | None:
         """Send head and body; after this, bytes may have reached the target."""
-        conn.timeout = BODY_S
+        conn.timeout = BODY_TIMEOUT_S
         if conn.sock is not None:
-            conn.sock.settimeout(BODY_S)
+            conn.sock.settimeout(BODY_TIMEOUT_S)
         headers = self._headers(call)
         try:
             conn.request(
@@ -256,14 +256,14 @@
                 waited = self._await_more(conn.sock, seen + 1, call, watch)
                 if waited is not None:
                     return waited
-                head = conn.sock.recv(HEAD_BYTES, socket.MSG_PEEK)
+                head = conn.sock.recv(MAX_HEAD_BYTES, socket.MSG_PEEK)
                 if b"\r\n\r\n" in head:
                     break
                 if len(head) == seen:
                     return Broken(Reason.TARGET_BROKEN, f"cut after {seen} bytes of the head")
                 seen = len(head)
-                if seen >= HEAD_BYTES:
-                    return Broken(Reason.TARGET_BROKEN, f"a head of over {HEAD_BYTES} bytes")
+                if seen >= MAX_HEAD_BYTES:
+                    return Broken(Reason.TARGET_BROKEN, f"a head of over {MAX_HEAD_BYTES} bytes")
             if seen:
                 _wake_at(conn.sock, 1)
         except OSError as error:
@@ -311,7 +311,7 @@
             return Broken(
                 Reason.TARGET_BROKEN, f"the answer belongs to another call, {marked!r:.80}"
             )
-        report = read_report(response)
+        report = parse_load_report(response)
         body = TargetBody(self._pools, conn, target, response, reusable=whole_request)
         mark = response.headers.get(http.REFUSED)
         if mark is not None:
@@ -326,7 +326,7 @@
         with contextlib.suppress(BodyCutError):
             for part in body.chunks():
                 size += len(part)
-                if size > _REFUSAL_BYTES:
+                if size > _MAX_REFUSAL_BYTES:
                     break
             else:
                 whole = True
@@ -351,7 +351,7 @@
     return body.chunks()
 
 
-def read_report(response: BaseHTTPResponse) -> LoadReport:
+def parse_load_report(response: BaseHTTPResponse) -> LoadReport:
     """Return what a target says of itself in an answer's headers.
 
     Source: the headers :data:`~dunlinnotch.protocol.http.LOAD` (a count),
@@ -402,7 +402,7 @@
     def chunks(self) -> Iterator[bytes]:
         """Yield the body; raise :class:`BodyCutError` if it is not whole."""
         try:
-            yield from self._response.stream(CHUNK, decode_content=False)
+            yield from self._response.stream(CHUNK_BYTES, decode_content=False)
         except (OSError, HTTPError, HTTPException, ValueError) as error:
             msg = f"the target's answer was cut: {error}"
             raise BodyCutError(msg) from None
@@ -418,4 +418,4 @@
         ):
             self._pools.discard(self._target, conn)
             return
-        self._pools.give_back(self._target, conn)
+        self._pools.release(self._target, conn)
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -86,10 +86,10 @@
 
 
 def _discard_keeps(self, target, conn):
-    self.give_back(target, conn)
+    self.release(target, conn)
 
 
-def _sound_always(self, idle):
+def _always_usable(self, idle):
     return True
 
 
@@ -453,8 +453,8 @@
     Mutant(
         "reuse an idle connection that was closed",
         ConnectionPools,
-        "_sound",
-        _sound_always,
+        "_is_usable",
+        _always_usable,
         "tests/test_targets.py",
     ),
     Mutant("accept a lower version", settings.SettingsFollower, "poll", _follow_blindly),
