--- a/dunlinnotch/daemon/box.py
+++ b/dunlinnotch/daemon/box.py
@@ -80,8 +80,8 @@
         self.links = PeerLinks(
             self.core.membership,
             seeds=config.peers.seeds,
-            count=config.peers.links,
-            heartbeat_s=config.peers.heartbeat_ms / 1000,
+            max_links=config.peers.links,
+            sync_interval_s=config.peers.heartbeat_ms / 1000,
             on_traffic=lambda size: self.metrics.count(Metric.PEER_BYTES, size),
         )
         operator = OperatorPort(self.core, self.links, peer_bytes=lambda: self.peer_bytes)
@@ -171,7 +171,7 @@
         self.server.start_in_background()
         event(_log, "started", box=self.core.name, caller=self.config.box.caller)
         self._stopped.wait()
-        self.links.wake()
+        self.links.sync_now()
         time.sleep(self.config.peers.heartbeat_ms / 1000 * _FINAL_HEARTBEATS)
         self.server.close()
         self._operator_server.close()
@@ -188,7 +188,7 @@
         """Begin a planned stop that an edit of the settings can't cancel."""
         self.signalled = True
         self.core.begin_drain()
-        self.links.wake()
+        self.links.sync_now()
 
     def _run_or_stop(self, loop: Callable[[], None]) -> None:
         """Run a loop; an unexpected exception stops the process, not just the thread."""
@@ -205,7 +205,7 @@
         while not self._stopped.is_set():
             try:
                 if self.core.poll_store():
-                    self.links.wake()
+                    self.links.sync_now()
             except PlatformUnavailableError as error:
                 event(_log, "platform-unavailable", level=logging.WARNING, detail=str(error))
             factor = 1 if self.core.is_reader() else _NON_READER_FACTOR
--- a/dunlinnotch/daemon/operator.py
+++ b/dunlinnotch/daemon/operator.py
@@ -95,7 +95,7 @@
             table_age_s=core.membership.table_age(),
             refusing=None if refusal is None else refusal.detail,
             drain=core.drain.status(),
-            links=tuple(self._links.names()),
+            links=tuple(self._links.peer_names()),
             peer_bytes=self._peer_bytes(),
             rows=tuple(core.membership.rows()),
         )
@@ -106,7 +106,7 @@
     def _edit(self, _query: dict[str, str], body: bytes) -> object:
         request = _codec.from_json(EditRequest, body)
         result = self._core.editor.edit(request.edit, timeout=request.wait_s)
-        self._links.wake()
+        self._links.sync_now()
         return result
 
     def _explain(self, query: dict[str, str], _body: bytes) -> object:
--- a/dunlinnotch/transport/peers.py
+++ b/dunlinnotch/transport/peers.py
@@ -29,12 +29,12 @@
     from dunlinnotch.types import Address, Seconds
 
 #: Largest message taken from a peer, in bytes.
-MESSAGE_BYTES = 16 * 1024 * 1024
+MAX_MESSAGE_BYTES = 16 * 1024 * 1024
 #: Seconds without a word after which a link is closed.
-SILENT_S = 2.0
-_READ = 64 * 1024
-_FIRST_WAIT_S = 0.1
-_LONGEST_WAIT_S = 2.0
+SILENCE_TIMEOUT_S = 2.0
+_READ_BYTES = 64 * 1024
+_MIN_RECONNECT_DELAY_S = 0.1
+_MAX_RECONNECT_DELAY_S = 2.0
 
 _log = logging.getLogger(__name__)
 
@@ -44,9 +44,9 @@
 
     def __init__(self, sock: socket.socket) -> None:
         self._sock = sock
-        sock.settimeout(SILENT_S)
+        sock.settimeout(SILENCE_TIMEOUT_S)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self._unpacker = msgpack.Unpacker(max_buffer_size=MESSAGE_BYTES)
+        self._unpacker = msgpack.Unpacker(max_buffer_size=MAX_MESSAGE_BYTES)
 
     def send(self, sync: Sync) -> int:
         """Send a message; return its size in bytes."""
@@ -60,7 +60,7 @@
             plain = self._next()
             if plain is not None:
                 return _codec.from_plain(Sync, plain)
-            data = self._sock.recv(_READ)
+            data = self._sock.recv(_READ_BYTES)
             if not data:
                 return None
             self._unpacker.feed(data)
@@ -141,9 +141,9 @@
     membership : PeerExchange
     seeds : iterable of str
         Addresses tried while no peer is known.
-    count : int
+    max_links : int
         Most links opened.
-    heartbeat_s : float
+    sync_interval_s : float
         Seconds between two turns of a link.
     on_traffic : callable, optional
         Told the bytes of each turn sent.
@@ -154,14 +154,14 @@
         membership: PeerExchange,
         *,
         seeds: Iterable[Address],
-        count: int,
-        heartbeat_s: Seconds,
+        max_links: int,
+        sync_interval_s: Seconds,
         on_traffic: Callable[[int], None] | None = None,
     ) -> None:
         self._membership = membership
         self._seeds = tuple(seeds)
-        self._count = count
-        self._heartbeat_s = heartbeat_s
+        self._max_links = max_links
+        self._sync_interval_s = sync_interval_s
         self._on_traffic = on_traffic
         self._links: dict[str, _Link] = {}
         self.sent_bytes = 0
@@ -177,18 +177,18 @@
         for link in self._links.values():
             link.close()
 
-    def wake(self) -> None:
+    def sync_now(self) -> None:
         """Have each link take a turn at once."""
         for link in list(self._links.values()):
             link.due.set()
 
-    def names(self) -> list[str]:
+    def peer_names(self) -> list[str]:
         """Return the peers linked to."""
         return sorted(self._links)
 
     def _keep(self) -> None:
         while not self._stopped.is_set():
-            wanted = self._membership.links(self._count, self._seeds)
+            wanted = self._membership.links(self._max_links, self._seeds)
             for name in [n for n in self._links if n not in wanted]:
                 self._links.pop(name).close()
             for name, address in wanted.items():
@@ -199,9 +199,9 @@
                     known.close()
                 self._links[name] = link = _Link(address, self)
                 threading.Thread(target=link.run, name="peer-out", daemon=True).start()
-            self._stopped.wait(self._heartbeat_s)
+            self._stopped.wait(self._sync_interval_s)
 
-    def take_turn(self, stream: _Stream, state: LinkState) -> bool:
+    def run_sync_round(self, stream: _Stream, state: LinkState) -> bool:
         """Send and receive once; return whether the peer is still there."""
         size = stream.send(self._membership.turn(state))
         self.sent_bytes += size
@@ -214,9 +214,9 @@
         return True
 
     @property
-    def heartbeat_s(self) -> Seconds:
+    def sync_interval_s(self) -> Seconds:
         """Seconds between two turns of a link."""
-        return self._heartbeat_s
+        return self._sync_interval_s
 
 
 class _Link:
@@ -239,7 +239,9 @@
     def run(self) -> None:
         """Connect, take turns until the link breaks, wait, and connect again."""
         wait = wait_exponential_jitter(
-            multiplier=_FIRST_WAIT_S, max=_LONGEST_WAIT_S, jitter=_FIRST_WAIT_S
+            multiplier=_MIN_RECONNECT_DELAY_S,
+            max=_MAX_RECONNECT_DELAY_S,
+            jitter=_MIN_RECONNECT_DELAY_S,
         )
         failures = 0
         while not self._closed.is_set():
@@ -250,13 +252,13 @@
         """Run one connection to its end; return whether any turn was taken."""
         turns = 0
         try:
-            with socket.create_connection(split_address(self.address), SILENT_S) as sock:
+            with socket.create_connection(split_address(self.address), SILENCE_TIMEOUT_S) as sock:
                 self._sock = sock
                 stream = _Stream(sock)
                 state = LinkState()
-                while not self._closed.is_set() and self._links.take_turn(stream, state):
+                while not self._closed.is_set() and self._links.run_sync_round(stream, state):
                     turns += 1
-                    self.due.wait(self._links.heartbeat_s)
+                    self.due.wait(self._links.sync_interval_s)
                     self.due.clear()
         except OSError as error:
             event(_log, "link-broken", level=logging.DEBUG, peer=self.address, detail=str(error))
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -32,7 +32,7 @@
 def test_two_boxes_meet_over_a_link(served):
     known, server = served
     other = members("b")
-    links = PeerLinks(other, seeds=[f"127.0.0.1:{server.port}"], count=3, heartbeat_s=0.01)
+    links = PeerLinks(other, seeds=[f"127.0.0.1:{server.port}"], max_links=3, sync_interval_s=0.01)
     links.start()
     wait_until(lambda: len(known.rows()) == len(other.rows()) == 2, what="rows")
     links.close()
