--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -83,7 +83,7 @@
                 method="POST" if loan and count % 3 else "GET",
                 body=b"{}" if loan and count % 3 else None,
                 headers={"X-Mark": mark},
-                once=bool(loan and count % 3),
+                at_most_once=bool(loan and count % 3),
             )
             self._note(client, request, mark)
 
--- a/dunlinnotch/transport/caller.py
+++ b/dunlinnotch/transport/caller.py
@@ -66,7 +66,7 @@
     body : bytes or None
     headers : mapping of str to str, optional
     deadline_s : float, default 10.0
-    once : bool, default False
+    at_most_once : bool, default False
         Whether the request may not be repeated, so that it needs a once-key.
     """
 
@@ -77,7 +77,7 @@
     body: bytes | None = None
     headers: Mapping[str, str] | None = None
     deadline_s: Seconds = 10.0
-    once: bool = False
+    at_most_once: bool = False
 
 
 class CallerClient:
@@ -132,7 +132,7 @@
             self._keep_until = asked + answer.keep_s
             return answer
 
-    def forget(self) -> None:
+    def invalidate_addresses(self) -> None:
         """Have the next request ask for addresses anew."""
         self._keep_until = 0.0
 
@@ -140,13 +140,13 @@
         """Send one request, at each address kept until one does not refuse it."""
         result = CallerResult(Outcome.NOT_RUN, 0, b"", "no-address")
         for entry in self.addresses().addresses:
-            key = entry.once_stem + uuid.uuid4().hex if request.once else None
+            key = entry.once_stem + uuid.uuid4().hex if request.at_most_once else None
             result = self.send(request, entry, key)
             if result.outcome is not Outcome.NOT_RUN:
                 return result
             if result.reason == Reason.ONCE_KEY_ELSEWHERE:
-                self.forget()
-        self.forget()
+                self.invalidate_addresses()
+        self.invalidate_addresses()
         return result
 
     def send(self, request: Request, entry: AddressEntry, key: str | None) -> CallerResult:
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -53,10 +53,10 @@
     three.boxes["box-2"].process.end()
     assert lookup(client).outcome is Outcome.ANSWERED
     three.restart_box("box-2")
-    client.forget()
+    client.invalidate_addresses()
 
     def back():
-        client.forget()
+        client.invalidate_addresses()
         return lookup(client).box == "box-2"
 
     wait_until(back, what="callers use box-2 again")
--- a/tests/test_system.py
+++ b/tests/test_system.py
@@ -24,7 +24,7 @@
     method="POST",
     body=b"loan",
     headers={"X-Mark": "m"},
-    once=True,
+    at_most_once=True,
     deadline_s=5.0,
 )
 
