--- a/dunlinnotch/cli/moves.py
+++ b/dunlinnotch/cli/moves.py
@@ -198,7 +198,7 @@
 
     def act(self) -> Exit:
         """Change the level."""
-        self.client().log_level(self.argument("level"))
+        self.client().set_log_level(self.argument("level"))
         self.line(f"level is now {self.argument('level').upper()}")
         return Exit.OK
 
--- a/dunlinnotch/transport/operator.py
+++ b/dunlinnotch/transport/operator.py
@@ -60,7 +60,7 @@
         """Return the targets of a service as the box sees them now."""
         return self._ask(list[TargetSnapshot], "GET", f"/targets?{urlencode({'service': service})}")
 
-    def log_level(self, level: str) -> None:
+    def set_log_level(self, level: str) -> None:
         """Change the least level that the box logs."""
         self._ask(Failure, "POST", f"/log-level?{urlencode({'level': level})}")
 
