--- a/dunlinnotch/transport/front.py
+++ b/dunlinnotch/transport/front.py
@@ -73,7 +73,7 @@
     @property
     def replayable(self) -> bool:
         """Whether the body may be sent (again) from its start."""
-        return self._small or not self._exchange.body_begun
+        return self._small or not self._exchange.body_started
 
     def chunks(self) -> Iterator[bytes]:
         """Yield the body; raise :class:`BodyCutError` if it is not whole."""
@@ -140,11 +140,11 @@
             event(_log, "refused", reason=call.reason, detail=call.detail, caller=exchange.remote)
             self._refuse(exchange, call)
             return
-        exchange.limit_reads(call.deadline)
+        exchange.set_read_deadline(call.deadline)
         reply = CallerReply(exchange, call, self._service)
         result = self._service.route(call, CallerBody(exchange), reply, exchange)
         if result.begun and result.outcome is not Outcome.ANSWERED:
-            exchange.cut()
+            exchange.abort()
         elif not result.begun and result.reason is not Reason.CALLER_GONE:
             self._refuse(exchange, result, call)
 
--- a/dunlinnotch/transport/server.py
+++ b/dunlinnotch/transport/server.py
@@ -1,9 +1,9 @@
 """An HTTP/1.1 server on cheroot: one thread for each connection.
 
-cheroot reads request lines and hands out connections.  This module adds what
-a load balancer needs: strict heads (no request smuggling), a time limit on
-slow heads, framing checked to the last byte, and answers that go out in as
-few writes as may be.
+cheroot accepts connections and parses request lines.  This module adds strict
+parsing of heads (against request smuggling), a timeout for slow heads, and
+verification of the body framing; it sends the head of an answer and the first
+part of its body in one write.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 from dunlinnotch.protocol.attempt import BodyCutError, CallerGoneError
 from dunlinnotch.protocol.outcome import Reason
 from dunlinnotch.state.heads import Header
-from dunlinnotch.transport.exchange import CHUNK, Exchange, peer_closed
+from dunlinnotch.transport.exchange import CHUNK_BYTES, Exchange, peer_closed
 from dunlinnotch.transport.heads import StrictHeaderReader, format_head
 from dunlinnotch.transport.reader import SocketReader
 
@@ -32,17 +32,18 @@
 
     from dunlinnotch.types import Seconds
 
-#: Largest request line and head together, in bytes.
+#: Maximum size of the request line and the headers together, in bytes.
 MAX_HEAD_BYTES = 32 * 1024
-#: How often slow heads are looked for, in seconds.
-_JANITOR_S = 0.5
-#: How long a thread waits on an idle connection before it looks around, in seconds.
-_IDLE_LOOK_S = 1.0
-#: How long one write may wait for a caller that does not read, in seconds.
-_WRITE_S = 30.0
-#: Unread bytes of a refused request taken in, so that the refusal is not lost.
-_DRAIN_BYTES = 256 * 1024
-_SWALLOW_S = 0.2
+#: Interval at which read deadlines are enforced, in seconds.
+_DEADLINE_CHECK_INTERVAL_S = 0.5
+#: Interval at which the thread of an idle connection checks for shutdown, in seconds.
+_IDLE_POLL_INTERVAL_S = 1.0
+#: Timeout for one write to a caller that does not read, in seconds.
+_WRITE_TIMEOUT_S = 30.0
+#: Limits for draining a refused request: closing a socket with unread input resets the
+#: connection, and the caller may lose the refusal.
+_MAX_DRAIN_BYTES = 256 * 1024
+_DRAIN_TIMEOUT_S = 0.2
 
 _log = logging.getLogger(__name__)
 _URI = re.compile(rb"^[\x21-\x7e]+$")
@@ -50,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HeadRefusal:
-    """The answer to a head that can't be used.
+    """The answer to a request head that cannot be served.
 
     Parameters
     ----------
@@ -65,36 +66,43 @@
 
 
 class HeadRefuser(Protocol):
-    """Turns a head that can't be used into an answer."""
+    """Builds the answer to a request head that cannot be served."""
 
     def __call__(self, reason: Reason, detail: str) -> HeadRefusal:
-        """Return the answer."""
+        """Return the answer.
+
+        Parameters
+        ----------
+        reason : Reason
+        detail : str
+            Description of the fault for the caller.
+        """
 
 
 class Handler(Protocol):
-    """Serves one exchange."""
+    """Serves HTTP exchanges."""
 
     def __call__(self, exchange: Exchange) -> None:
-        """Answer the request, or leave it unanswered to cut the connection."""
+        """Answer the request; if it is left unanswered, the connection is closed."""
 
 
 class ServerRequest(cheroot_server.HTTPRequest):
-    """A request whose head is read strictly and whose refusals carry a code."""
+    """A request whose head is parsed strictly and refused with a reason code."""
 
     def __init__(self, server: HttpServer, conn: ServerConnection) -> None:
         super().__init__(server, conn)
         self.header_reader = StrictHeaderReader()
 
     def parse_request(self) -> None:
-        """Read the head within the time limit."""
-        self.conn.limit = time.monotonic() + self.server.head_timeout_s
+        """Read the head within the head timeout."""
+        self.conn.read_deadline = time.monotonic() + self.server.head_timeout_s
         try:
             super().parse_request()
         finally:
-            self.conn.limit = None
+            self.conn.read_deadline = None
 
     def simple_response(self, status: object, msg: object = "") -> None:
-        """Refuse a head."""
+        """Refuse the head with the reason code for ``status``; called by cheroot."""
         code = int(str(status).split(" ", 1)[0])
         reason = Reason.HEAD_INVALID
         if self.conn.timed_out:
@@ -106,21 +114,31 @@
 
 
 class ServerConnection(cheroot_server.HTTPConnection):
-    """A caller's connection, with the time limit in force on its reads."""
+    """A caller's connection, with a deadline for reads from it.
+
+    Attributes
+    ----------
+    read_deadline : float or None
+        Monotonic time after which the server shuts down reading; ``None`` for no limit.
+    timed_out : bool
+        Whether the read deadline has passed.
+    refused : bool
+        Whether the connection has been refused.
+    """
 
     RequestHandlerClass = ServerRequest
 
-    def __init__(self, server: HttpServer, sock: socket.socket, *more: object) -> None:
-        super().__init__(server, sock, *more)
+    def __init__(self, server: HttpServer, sock: socket.socket, *args: object) -> None:
+        super().__init__(server, sock, *args)
         self.rfile = SocketReader(sock)
 
-    limit: Seconds | None = None
+    read_deadline: Seconds | None = None
     timed_out = False
-    answered = False
+    refused = False
 
     def refuse(self, reason: Reason, detail: str) -> None:
-        """Answer a head that can't be used, then let the connection be closed."""
-        self.answered = True
+        """Answer a request that cannot be served; the connection must be closed afterwards."""
+        self.refused = True
         refusal: HeadRefusal = self.server.refuse_head(reason, detail)
         headers = [*refusal.headers, Header("Connection", "close")]
         head = format_head(refusal.status, "", headers, length=len(refusal.body))
@@ -128,47 +146,49 @@
             self.socket.sendall(head + refusal.body)
         except OSError:
             return
-        self.swallow()
+        self.drain_input()
 
-    def swallow(self) -> None:
-        """Read what a refused caller still sends, a bounded amount, so it gets the refusal."""
+    def drain_input(self) -> None:
+        """Stop sending, then discard a bounded amount of input so that the answer is not lost."""
         with contextlib.suppress(OSError):
             self.socket.shutdown(socket.SHUT_WR)
-            _swallow(self.socket)
+            _drain_socket(self.socket)
 
 
-def _swallow(sock: socket.socket) -> None:
-    sock.settimeout(_SWALLOW_S)
-    left = _DRAIN_BYTES
-    while left > 0:
-        data = sock.recv(CHUNK)
+def _drain_socket(sock: socket.socket) -> None:
+    sock.settimeout(_DRAIN_TIMEOUT_S)
+    remaining_bytes = _MAX_DRAIN_BYTES
+    while remaining_bytes > 0:
+        data = sock.recv(CHUNK_BYTES)
         if not data:
             return
-        left -= len(data)
+        remaining_bytes -= len(data)
 
 
 class _Gateway(cheroot_server.Gateway):
-    """Hands an accepted head to the server's handler."""
+    """Passes requests with a valid head to the server's handler."""
 
     def respond(self) -> None:
         """Serve the request."""
         request: ServerRequest = self.req
         request.sent_headers = True
         if request.response_protocol != "HTTP/1.1" or not _URI.match(request.uri):
-            request.simple_response("400", "expected HTTP/1.1 and a path in visible ASCII")
+            request.simple_response(
+                "400", "request line invalid: expected HTTP/1.1 and a path in visible ASCII"
+            )
             return
         exchange = Exchange(request)
         try:
             request.server.handler(exchange)
         except CallerGoneError:
-            exchange.cut()
+            exchange.abort()
         except BodyCutError as error:
-            exchange.cut()
+            exchange.abort()
             request.conn.refuse(Reason.BODY_BROKEN, str(error))
         request.close_connection = not exchange.reusable
-        if exchange.refused_early:
-            request.conn.swallow()
-        request.conn.limit = None
+        if exchange.answered_early:
+            request.conn.drain_input()
+        request.conn.read_deadline = None
 
 
 class HttpServer(cheroot_server.HTTPServer):
@@ -177,13 +197,13 @@
     Parameters
     ----------
     bind : (str, int)
-        Address; port 0 takes one from the kernel.
+        Host and port; port 0 lets the kernel choose a free one.
     handler : Handler
     refuse_head : HeadRefuser
     max_connections : int, default 1000
-        Callers' connections served at once.
+        Maximum number of connections served at the same time; more are refused.
     head_timeout_s : float, default 5.0
-        Seconds in which a head must be whole.
+        Seconds within which a complete head must be received.
     idle_timeout_s : float, default 60.0
         Seconds after which an idle connection is closed.
     """
@@ -208,28 +228,30 @@
         self.refuse_head = refuse_head
         self.head_timeout_s = head_timeout_s
         self.closing = False
-        self.timeout = _WRITE_S  # type: ignore[assignment]
+        self.timeout = _WRITE_TIMEOUT_S  # type: ignore[assignment]
         self._idle_timeout_s = idle_timeout_s
         self._max_connections = max_connections
-        self._live: set[ServerConnection] = set()
-        self._live_lock = threading.Lock()
+        self._open: set[ServerConnection] = set()
+        self._connections_lock = threading.Lock()
         self._closed = threading.Event()
 
     def start_in_background(self) -> None:
-        """Bind, then serve on threads of this process."""
+        """Bind the address and serve on background threads."""
         self.prepare()
         threading.Thread(target=self.serve, name="http-accept", daemon=True).start()
-        threading.Thread(target=self._break_off_slow, name="http-janitor", daemon=True).start()
+        threading.Thread(
+            target=self._enforce_read_deadlines, name="http-janitor", daemon=True
+        ).start()
 
     @property
     def port(self) -> int:
-        """The port bound."""
+        """The port that the server listens on."""
         return int(self.bind_addr[1])
 
     @property
     def open_connections(self) -> int:
-        """Connections open now."""
-        return len(self._live)
+        """Number of open connections."""
+        return len(self._open)
 
     def close(self) -> None:
         """Stop accepting and close idle connections."""
@@ -238,17 +260,19 @@
         self.stop()
 
     def error_log(self, msg: str = "", level: int = logging.INFO, traceback: bool = False) -> None:
-        """Log what cheroot has to say as a JSON line like any other."""
+        """Write cheroot's messages to the log of this module."""
         _log.log(level, msg, exc_info=traceback)
 
     def process_conn(self, conn: ServerConnection) -> None:
         """Serve a new connection on a thread of its own."""
-        with self._live_lock:
-            full = len(self._live) >= self._max_connections
-            if not full:
-                self._live.add(conn)
-        if full:
-            conn.refuse(Reason.TOO_MANY_CONNECTIONS, f"at most {self._max_connections} connections")
+        with self._connections_lock:
+            at_limit = len(self._open) >= self._max_connections
+            if not at_limit:
+                self._open.add(conn)
+        if at_limit:
+            conn.refuse(
+                Reason.TOO_MANY_CONNECTIONS, f"all {self._max_connections} connections are in use"
+            )
             conn.close()
             return
         threading.Thread(target=self._serve, args=(conn,), name="http-conn", daemon=True).start()
@@ -256,16 +280,17 @@
     def _serve(self, conn: ServerConnection) -> None:
         try:
             while self._wait_readable(conn):
-                keep = bool(conn.communicate())  # type: ignore[no-untyped-call]
-                if conn.timed_out and not conn.answered:
+                keep_alive = bool(conn.communicate())  # type: ignore[no-untyped-call]
+                if conn.timed_out and not conn.refused:
                     conn.refuse(
-                        Reason.HEAD_TIMEOUT, f"no whole head within {self.head_timeout_s} s"
+                        Reason.HEAD_TIMEOUT,
+                        f"no complete request head within {self.head_timeout_s} s",
                     )
-                if not keep:
+                if not keep_alive:
                     return
         finally:
-            with self._live_lock:
-                self._live.discard(conn)
+            with self._connections_lock:
+                self._open.discard(conn)
             conn.close()
 
     def _wait_readable(self, conn: ServerConnection) -> bool:
@@ -273,20 +298,22 @@
             return True
         poller = select.poll()
         poller.register(conn.socket, select.POLLIN)
-        until = time.monotonic() + self._idle_timeout_s
-        while time.monotonic() < until:
-            if poller.poll(_IDLE_LOOK_S * 1000):
+        idle_deadline = time.monotonic() + self._idle_timeout_s
+        while time.monotonic() < idle_deadline:
+            if poller.poll(_IDLE_POLL_INTERVAL_S * 1000):
                 return not peer_closed(conn.socket)
             if self.closing:
                 return False
         return False
 
-    def _break_off_slow(self) -> None:
-        while not self._closed.wait(_JANITOR_S):
+    def _enforce_read_deadlines(self) -> None:
+        while not self._closed.wait(_DEADLINE_CHECK_INTERVAL_S):
             now = time.monotonic()
-            with self._live_lock:
-                late = [c for c in self._live if c.limit is not None and now > c.limit]
-            for conn in late:
+            with self._connections_lock:
+                overdue = [
+                    c for c in self._open if c.read_deadline is not None and now > c.read_deadline
+                ]
+            for conn in overdue:
                 conn.timed_out = True
                 with contextlib.suppress(OSError):
                     conn.socket.shutdown(socket.SHUT_RD)
