--- a/dunlinnotch/transport/targets.py
+++ b/dunlinnotch/transport/targets.py
@@ -1,8 +1,8 @@
-"""Carry calls to targets on urllib3 connections.
+"""Send calls to targets on urllib3 connections.
 
-urllib3's own pools and retries are not used: this module must know whether a
-byte of a request may have reached the target, and a connection that broke off
-in any way must never carry another request.
+The pools and retries of urllib3 are not used, because this module must know
+whether any byte of a request may have reached the target, and a connection
+that failed in any way must never carry another request.
 """
 
 from __future__ import annotations
@@ -45,35 +45,36 @@
     from dunlinnotch.types import Address, Clock, Seconds
 
 CHUNK_BYTES = 64 * 1024
-#: Idle connections older than this are closed, since a target may be about to do so.
+#: Time after which an idle connection is closed, before the target may close it, in seconds.
 IDLE_TIMEOUT_S = 15.0
-#: Longest time to wait for a new connection.
+#: Timeout for opening a connection, in seconds.
 CONNECT_TIMEOUT_S = 1.0
-#: Longest time to wait for the next part of an answer's body.
+#: Timeout for one read or write of a body, in seconds.
 BODY_TIMEOUT_S = 30.0
+#: Maximum size of a refusal's body for which the connection is kept, in bytes.
 _MAX_REFUSAL_BYTES = 64 * 1024
-#: Largest head of an answer.
+#: Maximum size of the head of an answer, in bytes.
 MAX_HEAD_BYTES = 64 * 1024
-_BODILESS = frozenset({204, 304})
-_INTERIM = re.compile(rb"HTTP/1\.[01] 1")
+_BODILESS_STATUSES = frozenset({204, 304})
+_INTERIM_STATUS_LINE = re.compile(rb"HTTP/1\.[01] 1")
 
 
 @dataclass(slots=True)
 class _IdleConnection:
-    """A connection that may be used again."""
+    """A connection available for reuse, and the time since which it has been idle."""
 
     conn: HTTPConnection
-    since: Seconds
+    idle_since: Seconds
 
 
 class ConnectionPools:
-    """Connections to targets, at most so many each.
+    """Connections to targets, limited for each target.
 
     Parameters
     ----------
     limit : callable
-        Given a target, returns the connections this box may have there: its
-        fixed share of what the target accepts.
+        Given a target, returns the maximum number of connections of this box to
+        it: the fixed share of the box in what the target accepts.
     clock : callable
 
     Notes
@@ -86,15 +87,21 @@
         self._clock = clock
         self._lock = threading.Lock()
         self._idle: dict[Address, deque[_IdleConnection]] = {}
-        self._open: dict[Address, int] = {}
+        self._open_counts: dict[Address, int] = {}
 
     def acquire(self, target: Address, *, fresh: bool) -> HTTPConnection | None:
-        """Return an idle connection, or one not yet connected.
+        """Return an idle connection, or a new one that is not connected yet.
+
+        Parameters
+        ----------
+        target : str
+        fresh : bool
+            Whether to return a new connection rather than an idle one.
 
         Returns
         -------
         HTTPConnection or None
-            ``None`` if the box has its share of connections there.
+            ``None`` if all connections allowed to the target are in use.
         """
         if not fresh:
             while (idle := self._pop_idle(target)) is not None:
@@ -102,31 +109,31 @@
                     return idle.conn
                 self.discard(target, idle.conn)
         with self._lock:
-            at_limit = self._open.get(target, 0) >= self._limit(target)
+            at_limit = self._open_counts.get(target, 0) >= self._limit(target)
         if at_limit and (idle := self._pop_idle(target)) is not None:
             self.discard(target, idle.conn)
         with self._lock:
-            if self._open.get(target, 0) >= self._limit(target):
+            if self._open_counts.get(target, 0) >= self._limit(target):
                 return None
-            self._open[target] = self._open.get(target, 0) + 1
-        at = split_address(target)
-        return HTTPConnection(at.host, at.port, timeout=CONNECT_TIMEOUT_S)
+            self._open_counts[target] = self._open_counts.get(target, 0) + 1
+        address = split_address(target)
+        return HTTPConnection(address.host, address.port, timeout=CONNECT_TIMEOUT_S)
 
     def release(self, target: Address, conn: HTTPConnection) -> None:
-        """Keep a connection whose last answer was read to its end."""
+        """Keep a connection for reuse; its last answer must have been read completely."""
         with self._lock:
             self._idle.setdefault(target, deque()).append(_IdleConnection(conn, self._clock()))
 
     def discard(self, target: Address, conn: HTTPConnection) -> None:
-        """Close a connection for good."""
+        """Close a connection and remove it from the pool."""
         conn.close()
         with self._lock:
-            self._open[target] -= 1
+            self._open_counts[target] -= 1
 
     def open_connections(self, target: Address) -> int:
-        """Return the connections open to a target."""
+        """Return the number of connections to a target, in use or idle."""
         with self._lock:
-            return self._open.get(target, 0)
+            return self._open_counts.get(target, 0)
 
     def _pop_idle(self, target: Address) -> _IdleConnection | None:
         with self._lock:
@@ -134,8 +141,8 @@
             return idle.pop() if idle else None
 
     def _is_usable(self, idle: _IdleConnection) -> bool:
-        """Return whether nothing has come in on an idle connection, not even its end."""
-        if self._clock() - idle.since > IDLE_TIMEOUT_S or idle.conn.sock is None:
+        """Return whether an idle connection is recent and has received neither bytes nor EOF."""
+        if self._clock() - idle.idle_since > IDLE_TIMEOUT_S or idle.conn.sock is None:
             return False
         poller = select.poll()
         poller.register(idle.conn.sock, select.POLLIN)
@@ -143,13 +150,13 @@
 
 
 class TargetClient:
-    """Send calls to targets; the project's :class:`TargetTransport`.
+    """Send calls to targets; implements :class:`TargetTransport`.
 
     Parameters
     ----------
     pools : ConnectionPools
     clock : callable
-        Must be :func:`time.monotonic` or agree with it.
+        Must return the same time as :func:`time.monotonic`.
     """
 
     def __init__(self, pools: ConnectionPools, *, clock: Clock = time.monotonic) -> None:
@@ -162,7 +169,9 @@
         """Send ``call`` to ``target`` and wait for the head of its answer."""
         conn = self._pools.acquire(target, fresh=fresh)
         if conn is None:
-            return NotSent(Reason.CONNECT_FAILED, "this box's share of connections is in use")
+            return NotSent(
+                Reason.CONNECT_FAILED, "all connections of this box to the target are in use"
+            )
         result: AttemptResult | None = None
         try:
             result = self._connect(conn, call) or self._exchange(conn, call, target, body, watch)
@@ -174,12 +183,12 @@
     def _connect(self, conn: HTTPConnection, call: Call) -> NotSent | None:
         if conn.sock is not None:
             return None
-        left = call.deadline - self._clock()
-        if left <= 0:
+        remaining_s = call.deadline - self._clock()
+        if remaining_s <= 0:
             return NotSent(
-                Reason.DEADLINE_EXPIRED, "the deadline passed before a connection was open"
+                Reason.DEADLINE_EXPIRED, "the deadline expired before a connection was open"
             )
-        conn.timeout = min(CONNECT_TIMEOUT_S, left)
+        conn.timeout = min(CONNECT_TIMEOUT_S, remaining_s)
         try:
             conn.connect()
         except (OSError, HTTPError) as error:
@@ -194,20 +203,25 @@
         body: RequestBody,
         watch: CallerWatch,
     ) -> AttemptResult:
-        failure = self._send(conn, call, body)
-        if failure is not None and failure.reason is not Reason.TARGET_BROKEN:
-            return failure
-        waited = self._await_head(conn, call, watch)
-        if waited is not None:
-            return failure or waited
+        send_failure = self._send(conn, call, body)
+        if send_failure is not None and send_failure.reason is not Reason.TARGET_BROKEN:
+            return send_failure
+        # A target may answer and close before it has read the whole request.
+        head_failure = self._await_head(conn, call, watch)
+        if head_failure is not None:
+            return send_failure or head_failure
         try:
             response = conn.getresponse()
         except (OSError, HTTPError, ValueError, HTTPException) as error:
-            return failure or Broken(Reason.TARGET_BROKEN, f"no answer: {error!r}")
-        return self._answered(conn, call, target, response, whole_request=failure is None)
+            return send_failure or Broken(
+                Reason.TARGET_BROKEN, f"reading the head of the answer failed: {error!r}"
+            )
+        return self._classify_answer(
+            conn, call, target, response, request_complete=send_failure is None
+        )
 
     def _send(self, conn: HTTPConnection, call: Call, body: RequestBody) -> Broken | None:
-        """Send head and body; after this, bytes may have reached the target."""
+        """Send the request; from here on, bytes may have reached the target."""
         conn.timeout = BODY_TIMEOUT_S
         if conn.sock is not None:
             conn.sock.settimeout(BODY_TIMEOUT_S)
@@ -216,7 +230,7 @@
             conn.request(
                 call.method,
                 call.path,
-                body=_sent_body(call, body),
+                body=_request_body(call, body),
                 headers=headers,
                 chunked=call.length is None,
                 preload_content=False,
@@ -225,16 +239,16 @@
         except BodyCutError as error:
             return Broken(Reason.BODY_BROKEN, str(error))
         except (OSError, HTTPError, HTTPException) as error:
-            return Broken(Reason.TARGET_BROKEN, f"sending broke off: {error}")
+            return Broken(Reason.TARGET_BROKEN, f"sending the request failed: {error}")
         return None
 
     def _headers(self, call: Call) -> dict[str, str]:
         headers: dict[str, str] = {}
         for header in call.headers:
-            known = headers.get(header.name)
-            headers[header.name] = header.value if known is None else f"{known}, {header.value}"
-        left_ms = max(1, int((call.deadline - self._clock()) * 1000))
-        headers[http.DEADLINE_MS] = str(left_ms)
+            earlier = headers.get(header.name)
+            headers[header.name] = header.value if earlier is None else f"{earlier}, {header.value}"
+        remaining_ms = max(1, int((call.deadline - self._clock()) * 1000))
+        headers[http.DEADLINE_MS] = str(remaining_ms)
         headers[http.CALL_ID] = call.call_id
         headers.setdefault("Accept-Encoding", "identity")
         headers.setdefault("User-Agent", "-")
@@ -243,120 +257,150 @@
         return headers
 
     def _await_head(self, conn: HTTPConnection, call: Call, watch: CallerWatch) -> Broken | None:
-        """Wait for a whole head, the caller's end or the deadline.
+        """Wait until a complete head is received, the caller leaves or the deadline expires.
 
-        ``http.client`` takes a head that was cut for a whole one, so the head
-        is looked at before it is read.
+        Returns
+        -------
+        Broken or None
+            ``None`` once the socket holds a complete head.
+
+        Notes
+        -----
+        ``http.client`` accepts a truncated head as complete, so the head is
+        peeked at and checked before it is read.
         """
         if conn.sock is None:
             return Broken(Reason.TARGET_BROKEN, "the target closed the connection")
-        seen = 0
+        received_bytes = 0
         try:
             while True:
-                waited = self._await_more(conn.sock, seen + 1, call, watch)
-                if waited is not None:
-                    return waited
+                failure = self._await_bytes(conn.sock, received_bytes + 1, call, watch)
+                if failure is not None:
+                    return failure
                 head = conn.sock.recv(MAX_HEAD_BYTES, socket.MSG_PEEK)
                 if b"\r\n\r\n" in head:
                     break
-                if len(head) == seen:
-                    return Broken(Reason.TARGET_BROKEN, f"cut after {seen} bytes of the head")
-                seen = len(head)
-                if seen >= MAX_HEAD_BYTES:
-                    return Broken(Reason.TARGET_BROKEN, f"a head of over {MAX_HEAD_BYTES} bytes")
-            if seen:
-                _wake_at(conn.sock, 1)
+                if len(head) == received_bytes:
+                    return Broken(
+                        Reason.TARGET_BROKEN,
+                        f"the target closed its connection {received_bytes} bytes into the head",
+                    )
+                received_bytes = len(head)
+                if received_bytes >= MAX_HEAD_BYTES:
+                    return Broken(
+                        Reason.TARGET_BROKEN,
+                        f"the head of the answer exceeds {MAX_HEAD_BYTES} bytes",
+                    )
+            if received_bytes:
+                _set_receive_low_water_mark(conn.sock, 1)
         except OSError as error:
-            return Broken(Reason.TARGET_BROKEN, f"no answer: {error}")
-        if _INTERIM.match(head):
-            return Broken(Reason.TARGET_BROKEN, "interim answers (1xx) are not taken")
+            return Broken(
+                Reason.TARGET_BROKEN, f"waiting for the head of the answer failed: {error}"
+            )
+        if _INTERIM_STATUS_LINE.match(head):
+            return Broken(Reason.TARGET_BROKEN, "interim answers (1xx) are not supported")
         return None
 
-    def _await_more(
+    def _await_bytes(
         self, sock: socket.socket, size: int, call: Call, watch: CallerWatch
     ) -> Broken | None:
-        """Wait until ``size`` bytes, or the end, have come from the target."""
+        """Wait until the socket holds ``size`` bytes or EOF.
+
+        Returns
+        -------
+        Broken or None
+            ``Broken`` if the caller leaves or the deadline expires first.
+        """
         if size > 1:
-            _wake_at(sock, size)
+            _set_receive_low_water_mark(sock, size)
         poller = select.poll()
         poller.register(sock, select.POLLIN)
         caller = watch.fileno()
         if caller is not None:
             poller.register(caller, select.POLLIN)
         while True:
-            left = call.deadline - self._clock()
-            if left <= 0:
-                return Broken(Reason.DEADLINE_EXPIRED, "the target did not answer in time")
-            ready = [descriptor for descriptor, _ in poller.poll(left * 1000)]
+            remaining_s = call.deadline - self._clock()
+            if remaining_s <= 0:
+                return Broken(
+                    Reason.DEADLINE_EXPIRED, "no complete head of the answer before the deadline"
+                )
+            ready = [descriptor for descriptor, _ in poller.poll(remaining_s * 1000)]
             if sock.fileno() in ready:
                 return None
             if caller in ready:
                 if watch.gone():
-                    return Broken(Reason.CALLER_GONE, "the caller left while its request ran")
+                    return Broken(
+                        Reason.CALLER_GONE, "the caller closed its connection before the answer"
+                    )
                 poller.unregister(caller)
 
-    def _answered(
+    def _classify_answer(
         self,
         conn: HTTPConnection,
         call: Call,
         target: Address,
         response: HTTPResponse,
         *,
-        whole_request: bool,
+        request_complete: bool,
     ) -> AttemptResult:
-        if not _bounded(call, response):
-            return Broken(Reason.TARGET_BROKEN, "the answer has neither length nor chunks")
-        marked = response.headers.get(http.CALL_ID)
-        if marked is not None and marked != call.call_id:
+        if not _has_body_framing(call, response):
             return Broken(
-                Reason.TARGET_BROKEN, f"the answer belongs to another call, {marked!r:.80}"
+                Reason.TARGET_BROKEN, "the answer has neither Content-Length nor chunked encoding"
+            )
+        answered_call_id = response.headers.get(http.CALL_ID)
+        if answered_call_id is not None and answered_call_id != call.call_id:
+            return Broken(
+                Reason.TARGET_BROKEN, f"the answer is for another call: {answered_call_id!r:.80}"
             )
         report = parse_load_report(response)
-        body = TargetBody(self._pools, conn, target, response, reusable=whole_request)
-        mark = response.headers.get(http.REFUSED)
-        if mark is not None:
-            self._drop_refusal(body)
-            return Refused(mark, report)
+        body = TargetBody(self._pools, conn, target, response, reusable=request_complete)
+        refusal_mark = response.headers.get(http.REFUSED)
+        if refusal_mark is not None:
+            self._discard_refusal(body)
+            return Refused(refusal_mark, report)
         return Answered(_read_head(response), body, report)
 
     @staticmethod
-    def _drop_refusal(body: TargetBody) -> None:
+    def _discard_refusal(body: TargetBody) -> None:
         size = 0
-        whole = False
+        complete = False
         with contextlib.suppress(BodyCutError):
             for part in body.chunks():
                 size += len(part)
                 if size > _MAX_REFUSAL_BYTES:
                     break
             else:
-                whole = True
-        body.close(complete=whole)
+                complete = True
+        body.close(complete=complete)
 
 
-def _wake_at(sock: socket.socket, size: int) -> None:
-    """Have the socket count as readable only once it holds ``size`` bytes, or its end."""
+def _set_receive_low_water_mark(sock: socket.socket, size: int) -> None:
+    """Make the socket poll as readable only once it holds ``size`` bytes or EOF."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVLOWAT, size)
 
 
-def _bounded(call: Call, response: HTTPResponse) -> bool:
-    """Return whether the end of an answer's body can be told from a cut."""
-    if call.method == "HEAD" or response.status in _BODILESS:
+def _has_body_framing(call: Call, response: HTTPResponse) -> bool:
+    """Return whether the framing of an answer makes a truncated body detectable."""
+    if call.method == "HEAD" or response.status in _BODILESS_STATUSES:
         return True
     return bool(response.chunked) or response.headers.get("content-length") is not None
 
 
-def _sent_body(call: Call, body: RequestBody) -> Iterator[bytes] | None:
+def _request_body(call: Call, body: RequestBody) -> Iterator[bytes] | None:
     if call.length == 0:
         return None
     return body.chunks()
 
 
 def parse_load_report(response: BaseHTTPResponse) -> LoadReport:
-    """Return what a target says of itself in an answer's headers.
+    """Return the load and state that a target reports in the headers of an answer.
 
-    Source: the headers :data:`~dunlinnotch.protocol.http.LOAD` (a count),
-    :data:`~dunlinnotch.protocol.http.TARGET_STATE` and ``Retry-After``.  Values that make no
-    sense are passed over.
+    Notes
+    -----
+    Reads :data:`~dunlinnotch.protocol.http.LOAD` (a count),
+    :data:`~dunlinnotch.protocol.http.TARGET_STATE`,
+    :data:`~dunlinnotch.protocol.http.TARGET_INCARNATION` and ``Retry-After``
+    (seconds).  Invalid values are ignored.
     """
     load = response.headers.get(http.LOAD, "")
     state = response.headers.get(http.TARGET_STATE, "")
@@ -375,14 +419,14 @@
         http.RESERVED_ANSWER_HEADERS,
     )
     length = response.headers.get("content-length")
-    known = length is not None and length.isdigit() and not response.chunked
+    length_known = length is not None and length.isdigit() and not response.chunked
     return AnswerHead(
-        response.status, response.reason or "", headers, int(length or 0) if known else None
+        response.status, response.reason or "", headers, int(length or 0) if length_known else None
     )
 
 
 class TargetBody:
-    """An answer's body; its connection is given back only if it was whole."""
+    """The body of an answer; its connection is reused only if the body was read completely."""
 
     def __init__(
         self,
@@ -400,19 +444,31 @@
         self._reusable = reusable
 
     def chunks(self) -> Iterator[bytes]:
-        """Yield the body; raise :class:`BodyCutError` if it is not whole."""
+        """Yield the body.
+
+        Raises
+        ------
+        BodyCutError
+            If the body is truncated or its framing is invalid.
+        """
         try:
             yield from self._response.stream(CHUNK_BYTES, decode_content=False)
         except (OSError, HTTPError, HTTPException, ValueError) as error:
-            msg = f"the target's answer was cut: {error}"
+            msg = f"reading the body of the answer failed: {error}"
             raise BodyCutError(msg) from None
 
     def close(self, *, complete: bool) -> None:
-        """Give the connection back if the body was complete, else close it."""
+        """Release the connection to the pool if it can be reused, or close it.
+
+        Parameters
+        ----------
+        complete : bool
+            Whether the body was read completely.
+        """
         conn = self._conn
-        keeps = self._response.headers.get("connection", "").lower() != "close"
+        keep_alive = self._response.headers.get("connection", "").lower() != "close"
         if (
-            not (complete and self._reusable and keeps)
+            not (complete and self._reusable and keep_alive)
             or conn.sock is None
             or peer_closed(conn.sock)
         ):
