--- a/dunlinnotch/transport/__init__.py
+++ b/dunlinnotch/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Sockets: the HTTP front, clients for targets and platform, peer streams."""
+"""Network I/O: the HTTP server, links between boxes, and clients of targets and the platform."""
--- a/dunlinnotch/transport/caller.py
+++ b/dunlinnotch/transport/caller.py
@@ -1,4 +1,4 @@
-"""A client for callers: ask for addresses, keep the answer, connect there."""
+"""A client library for callers: look up box addresses, cache them and send requests there."""
 
 from __future__ import annotations
 
@@ -25,25 +25,29 @@
     from dunlinnotch.types import Address, Clock, Seconds
 
 _OK = 200
-_ASK_S = 2.0
-#: Time beyond a call's deadline before the caller stops listening, in seconds.
-_SLACK_S = 1.0
+#: Timeout of an address lookup, in seconds.
+_LOOKUP_TIMEOUT_S = 2.0
+#: Time to wait for an answer beyond the deadline of the request, in seconds.
+_DEADLINE_MARGIN_S = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class CallerResult:
-    """What a caller learnt of its request.
+    """The result of a request as its caller sees it.
 
     Parameters
     ----------
     outcome : Outcome
     status : int
-        0 if no whole answer came.
+        HTTP status; 0 if no complete answer was received.
     data : bytes
+        Body of the answer.
     reason : str
+        Reason code of a refusal, or the error of a failed request.
     box, target : str
+        The box that the request was sent to, and the target that answered.
     retry_after : float or None
-        Seconds after which to come back, if the request was refused.
+        Seconds after which to retry, if the answer states them.
     """
 
     outcome: Outcome
@@ -66,8 +70,9 @@
     body : bytes or None
     headers : mapping of str to str, optional
     deadline_s : float, default 10.0
+        Seconds from sending to the deadline of the request.
     at_most_once : bool, default False
-        Whether the request may not be repeated, so that it needs a once-key.
+        Whether the request is not idempotent and must be sent with an idempotency key.
     """
 
     service: str
@@ -81,12 +86,12 @@
 
 
 class CallerClient:
-    """Send requests by way of the boxes.
+    """Send requests through the boxes.
 
     Parameters
     ----------
     boxes : iterable of str
-        Caller addresses known from the start; any that lives will do.
+        Caller addresses for the first lookup; one that can be reached is enough.
     caller : str
         A stable name of the caller.
     place : str, default ""
@@ -94,9 +99,10 @@
 
     Notes
     -----
-    Thread-safe.  A request that was refused as not run goes on to the next
-    address; one whose end is unknown is asked for again only where it was
-    sent, by its once-key.
+    Thread-safe.  A request with the outcome "not run" is sent to the next
+    address.  One with an unknown outcome is not sent elsewhere, since it may
+    have run; it may be sent again only to the same box, with the same
+    idempotency key.
     """
 
     def __init__(
@@ -112,32 +118,32 @@
         self._clock = clock
         self._http = urllib3.PoolManager(retries=False, maxsize=64)
         self._lock = threading.Lock()
-        self._answer: AddressAnswer | None = None
-        self._keep_until: Seconds = 0.0
+        self._cached_answer: AddressAnswer | None = None
+        self._expires_at: Seconds = 0.0
 
     def addresses(self) -> AddressAnswer:
-        """Return the answer kept, or ask for a new one.
+        """Return the addresses to use, from the cache or by a new lookup.
 
         Raises
         ------
         BoxUnreachableError
-            If no box that is known answers.
+            If no known box returns addresses.
         """
         with self._lock:
-            if self._answer is not None and self._clock() < self._keep_until:
-                return self._answer
-            asked = self._clock()
-            answer = self._ask()
-            self._answer = answer
-            self._keep_until = asked + answer.keep_s
+            if self._cached_answer is not None and self._clock() < self._expires_at:
+                return self._cached_answer
+            requested_at = self._clock()
+            answer = self._look_up()
+            self._cached_answer = answer
+            self._expires_at = requested_at + answer.keep_s
             return answer
 
     def invalidate_addresses(self) -> None:
-        """Have the next request ask for addresses anew."""
-        self._keep_until = 0.0
+        """Expire the cached addresses, so that the next request looks them up."""
+        self._expires_at = 0.0
 
     def call(self, request: Request) -> CallerResult:
-        """Send one request, at each address kept until one does not refuse it."""
+        """Send a request to each cached address in turn until its outcome is not "not run"."""
         result = CallerResult(Outcome.NOT_RUN, 0, b"", "no-address")
         for entry in self.addresses().addresses:
             key = entry.once_stem + uuid.uuid4().hex if request.at_most_once else None
@@ -150,7 +156,15 @@
         return result
 
     def send(self, request: Request, entry: AddressEntry, key: str | None) -> CallerResult:
-        """Send one request to one box, once."""
+        """Make one attempt to send a request to one box.
+
+        Parameters
+        ----------
+        request : Request
+        entry : AddressEntry
+        key : str or None
+            Idempotency key, if the request needs one.
+        """
         headers = {
             **(request.headers or {}),
             http.SERVICE: request.service,
@@ -165,20 +179,22 @@
                 f"http://{entry.address}{request.path}",
                 body=request.body,
                 headers=headers,
-                timeout=request.deadline_s + _SLACK_S,
+                timeout=request.deadline_s + _DEADLINE_MARGIN_S,
             )
         except urllib3.exceptions.NewConnectionError as error:
             return CallerResult(Outcome.NOT_RUN, 0, b"", str(error), entry.box)
         except (urllib3.exceptions.HTTPError, OSError) as error:
             return CallerResult(Outcome.UNKNOWN, 0, b"", str(error), entry.box)
-        return _read(response, entry)
+        return _read_result(response, entry)
 
-    def _ask(self) -> AddressAnswer:
+    def _look_up(self) -> AddressAnswer:
         failures = []
-        for address in self._known():
+        for address in self._lookup_addresses():
             try:
                 response = self._http.request(
-                    "GET", f"http://{address}{ADDRESSES_PATH}?{self._query}", timeout=_ASK_S
+                    "GET",
+                    f"http://{address}{ADDRESSES_PATH}?{self._query}",
+                    timeout=_LOOKUP_TIMEOUT_S,
                 )
             except (urllib3.exceptions.HTTPError, OSError) as error:
                 failures.append(f"{address}: {error}")
@@ -187,20 +203,24 @@
                 answer = _codec.from_json(AddressAnswer, response.data)
                 if answer.addresses:
                     return answer
-            failures.append(f"{address}: no addresses (status {response.status})")
-        msg = f"no box gave addresses ({'; '.join(failures)})"
+            failures.append(f"{address}: no addresses in the answer (status {response.status})")
+        msg = f"no box returned addresses: {'; '.join(failures)}"
         raise BoxUnreachableError(msg)
 
-    def _known(self) -> Sequence[Address]:
-        kept = [] if self._answer is None else [e.address for e in self._answer.addresses]
-        return list(dict.fromkeys([*kept, *self._boxes]))
+    def _lookup_addresses(self) -> Sequence[Address]:
+        cached = (
+            []
+            if self._cached_answer is None
+            else [e.address for e in self._cached_answer.addresses]
+        )
+        return list(dict.fromkeys([*cached, *self._boxes]))
 
 
-def _read(response: BaseHTTPResponse, entry: AddressEntry) -> CallerResult:
-    stated = response.headers.get(http.OUTCOME)
+def _read_result(response: BaseHTTPResponse, entry: AddressEntry) -> CallerResult:
+    outcome = response.headers.get(http.OUTCOME)
     retry_after = response.headers.get("Retry-After")
     return CallerResult(
-        outcome=Outcome(stated) if stated in set(Outcome) else Outcome.UNKNOWN,
+        outcome=Outcome(outcome) if outcome in set(Outcome) else Outcome.UNKNOWN,
         status=response.status,
         data=response.data,
         reason=response.headers.get(http.REASON, ""),
--- a/dunlinnotch/transport/operator.py
+++ b/dunlinnotch/transport/operator.py
@@ -1,4 +1,4 @@
-"""A client of boxes' operator ports."""
+"""A client of the operator ports of boxes."""
 
 from __future__ import annotations
 
@@ -27,17 +27,22 @@
 T = TypeVar("T")
 
 _OK = 200
-#: Time beyond an edit's own wait before a box counts as unreachable, in seconds.
-_SLACK_S = 10.0
+#: Request timeout in seconds, in addition to the time that an edit waits at the box.
+_TIMEOUT_S = 10.0
 
 
 class OperatorClient:
-    """Ask the first box that can be reached.
+    """Send operator requests to the first box that can be reached.
 
     Parameters
     ----------
     boxes : sequence of str
-        Operator addresses, in the order in which to try them.
+        Operator addresses, in the order in which they are tried.
+
+    Notes
+    -----
+    Each request raises :class:`BoxUnreachableError` if no box answers, and
+    :class:`RequestRefusedError` if a box refuses it.
     """
 
     def __init__(self, boxes: Sequence[Address]) -> None:
@@ -46,37 +51,39 @@
 
     def status(self) -> Status:
         """Return the status of the box."""
-        return self._ask(Status, "GET", "/status")
+        return self._request(Status, "GET", "/status")
 
     def tree(self) -> SettingsTree:
-        """Return the settings tree in force there."""
-        return self._ask(SettingsTree, "GET", "/settings")
+        """Return the settings tree in force at the box."""
+        return self._request(SettingsTree, "GET", "/settings")
 
     def explain(self, path: str) -> list[EffectiveValue]:
         """Return each effective value at ``path`` with its source."""
-        return self._ask(list[EffectiveValue], "GET", f"/explain?{urlencode({'path': path})}")
+        return self._request(list[EffectiveValue], "GET", f"/explain?{urlencode({'path': path})}")
 
     def targets(self, service: str) -> list[TargetSnapshot]:
-        """Return the targets of a service as the box sees them now."""
-        return self._ask(list[TargetSnapshot], "GET", f"/targets?{urlencode({'service': service})}")
+        """Return the current view of the box of the targets of a service."""
+        return self._request(
+            list[TargetSnapshot], "GET", f"/targets?{urlencode({'service': service})}"
+        )
 
     def set_log_level(self, level: str) -> None:
-        """Change the least level that the box logs."""
-        self._ask(Failure, "POST", f"/log-level?{urlencode({'level': level})}")
+        """Set the minimum level of the messages that the box logs."""
+        self._request(Failure, "POST", f"/log-level?{urlencode({'level': level})}")
 
     def edit(self, request: EditRequest) -> EditResult:
-        """Make an edit; it carries an id, so trying another box is safe."""
+        """Make an edit; its id makes it safe to retry at another box."""
         body = _codec.to_json(request)
-        return self._ask(EditResult, "POST", "/settings/edit", body, wait=request.wait_s)
+        return self._request(EditResult, "POST", "/settings/edit", body, wait=request.wait_s)
 
-    def _ask(
+    def _request(
         self, cls: type[T], method: str, path: str, body: bytes | None = None, wait: Seconds = 0.0
     ) -> T:
         failures = []
         for box in self._boxes:
             try:
                 response = self._http.request(
-                    method, f"http://{box}{path}", body=body, timeout=wait + _SLACK_S
+                    method, f"http://{box}{path}", body=body, timeout=wait + _TIMEOUT_S
                 )
             except (urllib3.exceptions.HTTPError, OSError) as error:
                 failures.append(f"{box}: {error}")
@@ -86,5 +93,5 @@
                 msg = f"box {box}: {failure.code}: {failure.detail}"
                 raise RequestRefusedError(msg)
             return _codec.from_json(cls, response.data)
-        msg = f"no box answered ({'; '.join(failures) or 'none was named; give --box'})"
+        msg = f"no box answered: {'; '.join(failures) or 'no address given; use --box'}"
         raise BoxUnreachableError(msg)
--- a/dunlinnotch/transport/platform.py
+++ b/dunlinnotch/transport/platform.py
@@ -1,4 +1,4 @@
-"""Talk to the platform's table service and object store over HTTP."""
+"""A client of the platform's table service and object store over HTTP."""
 
 from __future__ import annotations
 
@@ -24,13 +24,18 @@
 
 
 class PlatformClient:
-    """A client of the platform; see :class:`dunlinnotch.protocol.platform.Platform`.
+    """A client of the platform; implements :class:`dunlinnotch.protocol.platform.Platform`.
 
     Parameters
     ----------
     address : str
     timeout : float, default 1.0
-        Seconds after which a request counts as unanswered.
+        Timeout of a request in seconds.
+
+    Notes
+    -----
+    Each method raises :class:`PlatformUnavailableError` if the platform does
+    not answer in time or its answer is invalid.
     """
 
     def __init__(self, address: Address, *, timeout: Seconds = 1.0) -> None:
@@ -40,43 +45,43 @@
         )
 
     def read(self, key: str) -> Row | None:
-        """Return a row, perhaps a stale one."""
-        response = self._ask("GET", f"/table/row?{urlencode({'key': key})}")
+        """Return a row, which may be stale, or ``None`` if there is none."""
+        response = self._request("GET", f"/table/row?{urlencode({'key': key})}")
         return None if response.status == _NOT_FOUND else _decode(Row, response.data)
 
     def scan(self, prefix: str, *, after: str, limit: int) -> list[Row]:
-        """Return rows whose key starts with ``prefix`` and sorts after ``after``."""
+        """Return up to ``limit`` rows whose keys start with ``prefix`` and follow ``after``."""
         query = urlencode({"prefix": prefix, "after": after, "limit": limit})
-        return _decode(list[Row], self._ask("GET", f"/table/rows?{query}").data)
+        return _decode(list[Row], self._request("GET", f"/table/rows?{query}").data)
 
     def transact(self, transaction: Transaction) -> TransactResult:
-        """Apply a transaction."""
-        response = self._ask("POST", "/table/transact", _codec.to_json(transaction))
+        """Apply a transaction, unless it conflicts with the stored rows."""
+        response = self._request("POST", "/table/transact", _codec.to_json(transaction))
         if response.status == _CONFLICT:
             return TransactResult.CONFLICT
         return TransactResult.COMMITTED
 
     def get_object(self, name: str) -> bytes | None:
-        """Return an object's bytes."""
-        response = self._ask("GET", f"/objects/{quote(name, safe='')}")
+        """Return the bytes of an object, or ``None`` if there is none."""
+        response = self._request("GET", f"/objects/{quote(name, safe='')}")
         return None if response.status == _NOT_FOUND else response.data
 
     def put_object(self, name: str, data: bytes) -> None:
         """Store an object."""
-        self._ask("PUT", f"/objects/{quote(name, safe='')}", data)
+        self._request("PUT", f"/objects/{quote(name, safe='')}", data)
 
     def list_boxes(self) -> list[ListedBox]:
-        """Return the boxes that the platform believes to be live."""
-        return _decode(list[ListedBox], self._ask("GET", "/boxes").data)
+        """Return the boxes that the platform lists as live."""
+        return _decode(list[ListedBox], self._request("GET", "/boxes").data)
 
-    def _ask(self, method: str, path: str, body: bytes | None = None) -> BaseHTTPResponse:
+    def _request(self, method: str, path: str, body: bytes | None = None) -> BaseHTTPResponse:
         try:
             response = self._pool.request(method, self._base + path, body=body)
         except (urllib3.exceptions.HTTPError, OSError) as error:
-            msg = f"platform {self._base}: {error}"
+            msg = f"request to platform {self._base} failed: {error}"
             raise PlatformUnavailableError(msg) from None
         if response.status not in (_OK, _NOT_FOUND, _CONFLICT):
-            msg = f"platform {self._base} answered {response.status}"
+            msg = f"platform {self._base} answered {response.status}, expected 200, 404 or 409"
             raise PlatformUnavailableError(msg)
         return response
 
--- a/dunlinnotch/transport/probes.py
+++ b/dunlinnotch/transport/probes.py
@@ -1,4 +1,4 @@
-"""Ask a target for its health and load."""
+"""Probe targets for their health and load."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
     from dunlinnotch.protocol.attempt import LoadReport
     from dunlinnotch.types import Address
 
-#: Where targets answer probes.
+#: Path at which targets answer probes.
 HEALTH_PATH = "/health"
-#: Seconds after which a probe is given up.
-PROBE_S = 0.5
+#: Timeout of a probe, in seconds.
+PROBE_TIMEOUT_S = 0.5
 
-_http = urllib3.PoolManager(retries=False, timeout=PROBE_S, headers={"Connection": "close"})
+_http = urllib3.PoolManager(retries=False, timeout=PROBE_TIMEOUT_S, headers={"Connection": "close"})
 
 
 def probe(target: Address) -> LoadReport | None:
-    """Return what a target says of itself, or None if it does not answer."""
+    """Return the load and state that a target reports, or ``None`` if it does not answer."""
     try:
         response = _http.request("GET", f"http://{target}{HEALTH_PATH}")
     except (HTTPError, OSError):
