--- a/dunlinnotch/transport/peers.py
+++ b/dunlinnotch/transport/peers.py
@@ -1,8 +1,8 @@
-"""Links between boxes: msgpack objects on a TCP stream, one thread for each link.
+"""Links between boxes: msgpack messages on a TCP stream, one thread for each link.
 
-The end that connected sends a :class:`~dunlinnotch.protocol.peers.Sync` at
-each heartbeat, or at once when something changed; the other end answers with
-one of its own.
+A link runs sync rounds: the box that opened it sends a
+:class:`~dunlinnotch.protocol.peers.Sync` at regular intervals, or at once if
+its state changed, and the other box answers with one of its own.
 """
 
 from __future__ import annotations
@@ -28,9 +28,9 @@
     from dunlinnotch.protocol.peers import PeerExchange
     from dunlinnotch.types import Address, Seconds
 
-#: Largest message taken from a peer, in bytes.
+#: Maximum size of a message from a peer, in bytes.
 MAX_MESSAGE_BYTES = 16 * 1024 * 1024
-#: Seconds without a word after which a link is closed.
+#: Time without a message after which a link is closed, in seconds.
 SILENCE_TIMEOUT_S = 2.0
 _READ_BYTES = 64 * 1024
 _MIN_RECONNECT_DELAY_S = 0.1
@@ -40,7 +40,7 @@
 
 
 class _Stream:
-    """Messages on one socket."""
+    """A stream of messages on a socket."""
 
     def __init__(self, sock: socket.socket) -> None:
         self._sock = sock
@@ -49,39 +49,51 @@
         self._unpacker = msgpack.Unpacker(max_buffer_size=MAX_MESSAGE_BYTES)
 
     def send(self, sync: Sync) -> int:
-        """Send a message; return its size in bytes."""
+        """Send a message and return its size in bytes."""
         data = _codec.pack(sync)
         self._sock.sendall(data)
         return len(data)
 
     def receive(self) -> Sync | None:
-        """Return the next message, or None at the end of the stream."""
+        """Return the next message, or ``None`` at the end of the stream.
+
+        Raises
+        ------
+        ProtocolError
+            If the data is not msgpack or not a valid message.
+        """
         while True:
-            plain = self._next()
-            if plain is not None:
-                return _codec.from_plain(Sync, plain)
+            message = self._next()
+            if message is not None:
+                return _codec.from_plain(Sync, message)
             data = self._sock.recv(_READ_BYTES)
             if not data:
                 return None
             self._unpacker.feed(data)
 
-    def _next(self) -> Any | None:  # noqa: ANN401 - plain data, checked by the caller
+    def _next(self) -> Any | None:  # noqa: ANN401 - unpacked data, validated by the caller
         try:
             return next(self._unpacker)
         except StopIteration:
             return None
         except (ValueError, msgpack.UnpackException) as error:
-            msg = f"not a msgpack stream: {error}"
+            msg = f"invalid msgpack data from a peer: {error}"
             raise ProtocolError(msg) from None
 
 
 class PeerServer:
-    """Answer the links that other boxes open to this one.
+    """Serve the links that other boxes open to this one.
 
     Parameters
     ----------
     bind : (str, int)
+        Host and port.
     membership : PeerExchange
+
+    Attributes
+    ----------
+    sent_bytes : int
+        Bytes sent on all links since the start.
     """
 
     def __init__(self, bind: tuple[str, int], membership: PeerExchange) -> None:
@@ -89,21 +101,21 @@
         self._listener = socket.create_server(bind, backlog=128)
         self._stopped = threading.Event()
         self.sent_bytes = 0
-        self._socks: set[socket.socket] = set()
+        self._sockets: set[socket.socket] = set()
 
     @property
     def port(self) -> int:
-        """The port bound."""
+        """The port that the server listens on."""
         return int(self._listener.getsockname()[1])
 
     def start(self) -> None:
-        """Accept links on a thread of this process."""
+        """Accept links on a background thread."""
         threading.Thread(target=self._accept, name="peer-accept", daemon=True).start()
 
     def close(self) -> None:
-        """Stop accepting and close all links."""
+        """Stop accepting links and close all open ones."""
         self._stopped.set()
-        for sock in [self._listener, *self._socks]:
+        for sock in [self._listener, *self._sockets]:
             with contextlib.suppress(OSError):
                 sock.shutdown(socket.SHUT_RDWR)
             sock.close()
@@ -117,7 +129,7 @@
             threading.Thread(target=self._serve, args=(sock,), name="peer-in", daemon=True).start()
 
     def _serve(self, sock: socket.socket) -> None:
-        self._socks.add(sock)
+        self._sockets.add(sock)
         link = LinkState()
         try:
             stream = _Stream(sock)
@@ -129,24 +141,29 @@
         except DunlinnotchError as error:
             event(_log, "link-refused", level=logging.ERROR, code=error.code, detail=str(error))
         finally:
-            self._socks.discard(sock)
+            self._sockets.discard(sock)
             sock.close()
 
 
 class PeerLinks:
-    """Keep this box's own links open.
+    """Open links to other boxes and keep them open.
 
     Parameters
     ----------
     membership : PeerExchange
     seeds : iterable of str
-        Addresses tried while no peer is known.
+        Addresses of boxes to connect to while no peer is known.
     max_links : int
-        Most links opened.
+        Maximum number of links to open.
     sync_interval_s : float
-        Seconds between two turns of a link.
+        Seconds between two sync rounds of a link.
     on_traffic : callable, optional
-        Told the bytes of each turn sent.
+        Called with the number of bytes of each message sent.
+
+    Attributes
+    ----------
+    sent_bytes : int
+        Bytes sent on all links since the start.
     """
 
     def __init__(
@@ -168,8 +185,8 @@
         self._stopped = threading.Event()
 
     def start(self) -> None:
-        """Choose and keep links on threads of this process."""
-        threading.Thread(target=self._keep, name="peer-links", daemon=True).start()
+        """Open and maintain links on background threads."""
+        threading.Thread(target=self._maintain_links, name="peer-links", daemon=True).start()
 
     def close(self) -> None:
         """Close all links."""
@@ -178,35 +195,35 @@
             link.close()
 
     def sync_now(self) -> None:
-        """Have each link take a turn at once."""
+        """Start a sync round on each link without waiting for the interval."""
         for link in list(self._links.values()):
-            link.due.set()
+            link.sync_due.set()
 
     def peer_names(self) -> list[str]:
-        """Return the peers linked to."""
+        """Return the sorted names of the peers to which links are kept."""
         return sorted(self._links)
 
-    def _keep(self) -> None:
+    def _maintain_links(self) -> None:
         while not self._stopped.is_set():
-            wanted = self._membership.links(self._max_links, self._seeds)
-            for name in [n for n in self._links if n not in wanted]:
+            peers = self._membership.links(self._max_links, self._seeds)
+            for name in [n for n in self._links if n not in peers]:
                 self._links.pop(name).close()
-            for name, address in wanted.items():
-                known = self._links.get(name)
-                if known is not None and known.address == address:
+            for name, address in peers.items():
+                existing = self._links.get(name)
+                if existing is not None and existing.address == address:
                     continue
-                if known is not None:
-                    known.close()
+                if existing is not None:
+                    existing.close()
                 self._links[name] = link = _Link(address, self)
                 threading.Thread(target=link.run, name="peer-out", daemon=True).start()
             self._stopped.wait(self._sync_interval_s)
 
     def run_sync_round(self, stream: _Stream, state: LinkState) -> bool:
-        """Send and receive once; return whether the peer is still there."""
-        size = stream.send(self._membership.turn(state))
-        self.sent_bytes += size
+        """Send a message and apply the answer; return False if the peer closed the link."""
+        message_bytes = stream.send(self._membership.turn(state))
+        self.sent_bytes += message_bytes
         if self._on_traffic is not None:
-            self._on_traffic(size)
+            self._on_traffic(message_bytes)
         answer = stream.receive()
         if answer is None:
             return False
@@ -215,51 +232,51 @@
 
     @property
     def sync_interval_s(self) -> Seconds:
-        """Seconds between two turns of a link."""
+        """Seconds between two sync rounds of a link."""
         return self._sync_interval_s
 
 
 class _Link:
-    """One link opened by this box, on a thread of its own."""
+    """A link opened by this box, run on a thread of its own."""
 
     def __init__(self, address: Address, links: PeerLinks) -> None:
         self.address = address
-        self.due = threading.Event()
+        self.sync_due = threading.Event()
         self._links = links
         self._closed = threading.Event()
         self._sock: socket.socket | None = None
 
     def close(self) -> None:
         self._closed.set()
-        self.due.set()
+        self.sync_due.set()
         if self._sock is not None:
             with contextlib.suppress(OSError):
                 self._sock.shutdown(socket.SHUT_RDWR)
 
     def run(self) -> None:
-        """Connect, take turns until the link breaks, wait, and connect again."""
-        wait = wait_exponential_jitter(
+        """Connect, run sync rounds until the link fails, and reconnect after a delay."""
+        delay = wait_exponential_jitter(
             multiplier=_MIN_RECONNECT_DELAY_S,
             max=_MAX_RECONNECT_DELAY_S,
             jitter=_MIN_RECONNECT_DELAY_S,
         )
         failures = 0
         while not self._closed.is_set():
-            failures = 0 if self._connected() else failures + 1
-            self._closed.wait(wait(_retry_state(max(1, failures))))
+            failures = 0 if self._run_connection() else failures + 1
+            self._closed.wait(delay(_retry_state(max(1, failures))))
 
-    def _connected(self) -> bool:
-        """Run one connection to its end; return whether any turn was taken."""
-        turns = 0
+    def _run_connection(self) -> bool:
+        """Run one connection until it ends; return whether a sync round was completed."""
+        rounds = 0
         try:
             with socket.create_connection(split_address(self.address), SILENCE_TIMEOUT_S) as sock:
                 self._sock = sock
                 stream = _Stream(sock)
                 state = LinkState()
                 while not self._closed.is_set() and self._links.run_sync_round(stream, state):
-                    turns += 1
-                    self.due.wait(self._links.sync_interval_s)
-                    self.due.clear()
+                    rounds += 1
+                    self.sync_due.wait(self._links.sync_interval_s)
+                    self.sync_due.clear()
         except OSError as error:
             event(_log, "link-broken", level=logging.DEBUG, peer=self.address, detail=str(error))
         except DunlinnotchError as error:
@@ -271,11 +288,11 @@
                 code=error.code,
                 detail=str(error),
             )
-        return turns > 0
+        return rounds > 0
 
 
 def _retry_state(attempt: int) -> RetryCallState:
-    """Return the state from which the library computes the wait before try ``attempt``."""
+    """Return the state from which tenacity computes the delay before ``attempt``."""
     state = RetryCallState(retry_object=None, fn=None, args=(), kwargs={})  # type: ignore[arg-type]
     state.attempt_number = attempt
     return state
