--- a/dunlinnotch/transport/front.py
+++ b/dunlinnotch/transport/front.py
@@ -1,4 +1,4 @@
-"""The caller port: address answers, and every other request is routed."""
+"""The handler of the caller port: answers address lookups and routes all other requests."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
     from dunlinnotch.transport.exchange import Exchange
     from dunlinnotch.types import Address, Clock, Seconds, Version
 
-#: Bodies up to this size are read whole, so that a call may be tried again.
-REPLAY_BYTES = 64 * 1024
-#: Longest deadline that a caller may state, in milliseconds.
-DEADLINE_MAX_MS = 3_600_000
+#: Maximum size of a body that is buffered, so that the call can be retried, in bytes.
+MAX_REPLAY_BYTES = 64 * 1024
+#: Maximum deadline that a caller may request, in milliseconds.
+MAX_DEADLINE_MS = 3_600_000
 _JSON = Header("Content-Type", "application/json")
-_STATUS_OF = {
+_REFUSAL_STATUSES = {
     Reason.HEAD_TOO_LARGE: 431,
     Reason.HEAD_TIMEOUT: 408,
     Reason.TOO_MANY_CONNECTIONS: 503,
@@ -40,62 +40,81 @@
 _log = logging.getLogger(__name__)
 
 
-class Service(Protocol):
-    """What the front needs of the box."""
+class CallerService(Protocol):
+    """The interface of the box that the caller port uses."""
 
     @property
     def name(self) -> str:
-        """The box's name."""
+        """The name of the box."""
 
     def route(
         self, call: Call, body: RequestBody, reply: ReplySink, watch: CallerWatch
     ) -> CallResult:
-        """Serve one call."""
+        """Serve one call.
+
+        Parameters
+        ----------
+        call : Call
+        body : RequestBody
+        reply : ReplySink
+            Where an answer of a target is sent.
+        watch : CallerWatch
+
+        Returns
+        -------
+        CallResult
+        """
 
     def addresses(self, caller: str, place: str) -> AddressAnswer:
-        """Return the boxes that a caller should use."""
+        """Return the addresses of the boxes that a caller at ``place`` should use."""
 
     def deadline_of(self, service: str, kind: str) -> Seconds:
-        """Return the time for a call that states none."""
+        """Return the default time for a call in seconds, for calls without a deadline."""
 
     def version(self) -> Version:
         """Return the settings version in force."""
 
 
 class CallerBody:
-    """A caller's request body; a small one is kept so that it can be sent again."""
+    """The body of a caller's request; a small one is buffered so that it can be sent again."""
 
     def __init__(self, exchange: Exchange) -> None:
         self._exchange = exchange
-        self._small = exchange.length is not None and exchange.length <= REPLAY_BYTES
-        self._kept: bytes | None = None
+        self._fits_buffer = exchange.length is not None and exchange.length <= MAX_REPLAY_BYTES
+        self._buffered: bytes | None = None
 
     @property
     def replayable(self) -> bool:
-        """Whether the body may be sent (again) from its start."""
-        return self._small or not self._exchange.body_started
+        """Whether the body can be sent from its start, for the first time or again."""
+        return self._fits_buffer or not self._exchange.body_started
 
     def chunks(self) -> Iterator[bytes]:
-        """Yield the body; raise :class:`BodyCutError` if it is not whole."""
-        if not self._small:
+        """Yield the body.
+
+        Raises
+        ------
+        BodyCutError
+            If the body is truncated or its framing is invalid.
+        """
+        if not self._fits_buffer:
             yield from self._exchange.body()
             return
-        if self._kept is None:
-            self._kept = b"".join(self._exchange.body())
-        yield self._kept
+        if self._buffered is None:
+            self._buffered = b"".join(self._exchange.body())
+        yield self._buffered
 
 
 class CallerReply:
-    """Where an answer goes out to the caller."""
+    """Sends the answer of a target to the caller; implements :class:`ReplySink`."""
 
-    def __init__(self, exchange: Exchange, call: Call, service: Service) -> None:
+    def __init__(self, exchange: Exchange, call: Call, service: CallerService) -> None:
         self._exchange = exchange
         self._call = call
         self._service = service
 
     def begin(self, head: AnswerHead, *, target: Address) -> None:
-        """Send the head of a target's answer."""
-        own = (
+        """Prepare the head of the answer, with the headers of this box added."""
+        box_headers = (
             Header(http.OUTCOME, Outcome.ANSWERED.value),
             Header(http.CALL_ID, self._call.call_id),
             Header(http.BOX, self._service.name),
@@ -103,39 +122,45 @@
             Header(http.SETTINGS_VERSION, str(self._service.version())),
         )
         self._exchange.begin(
-            head.status, (*head.headers, *own), length=head.length, phrase=head.phrase
+            head.status, (*head.headers, *box_headers), length=head.length, phrase=head.phrase
         )
 
     def send(self, chunk: bytes) -> None:
-        """Send a part of the body."""
+        """Send a part of the body.
+
+        Raises
+        ------
+        CallerGoneError
+            If the caller has closed its connection or does not read.
+        """
         self._exchange.send(chunk)
 
     def finish(self) -> None:
-        """End the body cleanly."""
+        """Complete the answer."""
         self._exchange.finish()
 
 
 class CallerFront:
-    """Turn exchanges into calls.
+    """Handler of the caller port: turns HTTP exchanges into calls.
 
     Parameters
     ----------
-    service : Service
+    service : CallerService
     clock : callable
     """
 
-    def __init__(self, service: Service, *, clock: Clock) -> None:
+    def __init__(self, service: CallerService, *, clock: Clock) -> None:
         self._service = service
         self._clock = clock
-        self._prefix = secrets.token_hex(4)
-        self._numbers = itertools.count(1)
+        self._call_id_prefix = secrets.token_hex(4)
+        self._call_numbers = itertools.count(1)
 
     def __call__(self, exchange: Exchange) -> None:
-        """Serve one exchange."""
+        """Answer one request."""
         if exchange.path.startswith("/.dunlinnotch/"):
-            self._own_path(exchange)
+            self._serve_addresses(exchange)
             return
-        call = self._call(exchange)
+        call = self._parse_call(exchange)
         if isinstance(call, CallResult):
             event(_log, "refused", reason=call.reason, detail=call.detail, caller=exchange.remote)
             self._refuse(exchange, call)
@@ -149,15 +174,17 @@
             self._refuse(exchange, result, call)
 
     def refuse_head(self, reason: Reason, detail: str) -> HeadRefusal:
-        """Return the answer to a head that can't be used."""
-        result = CallResult(Outcome.NOT_RUN, _STATUS_OF.get(reason, _BAD_REQUEST), reason, detail)
+        """Return the answer to a request head that cannot be served, and log the refusal."""
+        result = CallResult(
+            Outcome.NOT_RUN, _REFUSAL_STATUSES.get(reason, _BAD_REQUEST), reason, detail
+        )
         event(_log, "refused", reason=reason, detail=detail)
         return HeadRefusal(result.status, self._refusal_headers(result), _codec.to_json(result))
 
-    def _own_path(self, exchange: Exchange) -> None:
+    def _serve_addresses(self, exchange: Exchange) -> None:
         url = urlsplit(exchange.path)
         if url.path != ADDRESSES_PATH or exchange.method not in ("GET", "HEAD"):
-            detail = f"the only path here is GET {ADDRESSES_PATH}"
+            detail = f"no such path: expected GET or HEAD {ADDRESSES_PATH}"
             self._refuse(exchange, CallResult(Outcome.NOT_RUN, 404, Reason.HEAD_INVALID, detail))
             return
         query = {name: values[0] for name, values in parse_qs(url.query).items()}
@@ -174,42 +201,44 @@
         )
         exchange.reply(200, [_JSON], _codec.to_json(answer))
 
-    def _call(self, exchange: Exchange) -> Call | CallResult:
+    def _parse_call(self, exchange: Exchange) -> Call | CallResult:
         service = exchange.header(http.SERVICE)
         if not service:
-            return _bad(Reason.SERVICE_MISSING, f"header {http.SERVICE} is missing")
+            return _refusal(Reason.SERVICE_MISSING, f"header {http.SERVICE} is missing")
         kind = exchange.header(http.KIND)
         if not kind:
-            return _bad(Reason.KIND_MISSING, f"header {http.KIND} is missing")
-        allowed = self._allowed_time(exchange, service, kind)
-        if isinstance(allowed, CallResult):
-            return allowed
+            return _refusal(Reason.KIND_MISSING, f"header {http.KIND} is missing")
+        time_allowed = self._time_allowed(exchange, service, kind)
+        if isinstance(time_allowed, CallResult):
+            return time_allowed
         now = self._clock()
         return Call(
-            call_id=f"{self._prefix}-{next(self._numbers)}",
+            call_id=f"{self._call_id_prefix}-{next(self._call_numbers)}",
             service=service,
             kind=kind,
             method=exchange.method,
             path=exchange.path,
             headers=http.end_to_end(exchange.headers, http.RESERVED_REQUEST_HEADERS),
             arrived=now,
-            deadline=now + allowed,
+            deadline=now + time_allowed,
             idempotency_key=exchange.header(http.ONCE_KEY),
             length=exchange.length,
         )
 
-    def _allowed_time(self, exchange: Exchange, service: str, kind: str) -> Seconds | CallResult:
+    def _time_allowed(self, exchange: Exchange, service: str, kind: str) -> Seconds | CallResult:
         text = exchange.header(http.DEADLINE_MS)
         if text is None:
             return self._service.deadline_of(service, kind)
         try:
             milliseconds = int(text)
         except ValueError:
-            detail = f"{http.DEADLINE_MS} {text[:40]!r} is not a whole number of milliseconds"
-            return _bad(Reason.DEADLINE_INVALID, detail)
-        if milliseconds > DEADLINE_MAX_MS:
-            detail = f"{http.DEADLINE_MS} {milliseconds} is over {DEADLINE_MAX_MS}"
-            return _bad(Reason.DEADLINE_INVALID, detail)
+            detail = f"header {http.DEADLINE_MS} {text[:40]!r} invalid: expected an integer (ms)"
+            return _refusal(Reason.DEADLINE_INVALID, detail)
+        if milliseconds > MAX_DEADLINE_MS:
+            detail = (
+                f"header {http.DEADLINE_MS} {milliseconds} exceeds the maximum of {MAX_DEADLINE_MS}"
+            )
+            return _refusal(Reason.DEADLINE_INVALID, detail)
         return max(0, milliseconds) / 1000
 
     def _refuse(self, exchange: Exchange, result: CallResult, call: Call | None = None) -> None:
@@ -219,13 +248,13 @@
         exchange.reply(result.status, headers, _codec.to_json(result))
 
     def _refusal_headers(self, result: CallResult) -> list[Header]:
-        own = (
+        box_headers = (
             Header(http.BOX, self._service.name),
             Header(http.SETTINGS_VERSION, str(self._service.version())),
         )
-        return [_JSON, *http.refusal_headers(result), *own]
+        return [_JSON, *http.refusal_headers(result), *box_headers]
 
 
-def _bad(reason: Reason, detail: str) -> CallResult:
-    """Return the refusal of a call that can't be read, said of this copy alone."""
+def _refusal(reason: Reason, detail: str) -> CallResult:
+    """Return the refusal of an invalid request, which was not run."""
     return CallResult(Outcome.NOT_RUN, _BAD_REQUEST, reason, detail)
