--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -1,3 +1,5 @@
+"""The HTTP server: ambiguous or malformed requests are refused, framing is verified."""
+
 import socket
 
 import pytest
@@ -14,26 +16,26 @@
 
 
 @pytest.fixture
-def served():
-    seen = []
+def server():
+    bodies = []
 
     def handler(exchange):
-        seen.append(b"".join(exchange.body()))
-        exchange.reply(200, [], b"%d" % len(seen))
+        bodies.append(b"".join(exchange.body()))
+        exchange.reply(200, [], b"%d" % len(bodies))
 
     server = HttpServer(("127.0.0.1", 0), handler, refuse_head, head_timeout_s=1.0)
-    server.seen = seen
+    server.bodies = bodies
     server.start_in_background()
     yield server
     server.close()
 
 
-def ask(server, data: bytes) -> bytes:
+def exchange_bytes(server, data: bytes) -> bytes:
     with socket.create_connection(("127.0.0.1", server.port), 5.0) as sock:
         sock.sendall(data)
         answer = b""
-        while part := sock.recv(65536):
-            answer += part
+        while received := sock.recv(65536):
+            answer += received
         return answer
 
 
@@ -80,20 +82,20 @@
         "slow-line",
     ],
 )
-def test_bad_head_is_refused_as_not_run(served, data, reason):
-    answer = ask(served, data)
+def test_invalid_head_is_refused_as_not_run(server, data, reason):
+    answer = exchange_bytes(server, data)
     assert answer.startswith(b"HTTP/1.1 400 ")
     assert b"Dunlinnotch-Outcome: not-run" in answer
     assert b"Dunlinnotch-Reason: " + reason in answer
-    assert served.seen == []
+    assert server.bodies == []
 
 
-def test_requests_on_one_connection_are_answered_in_order(served):
-    one = HEAD + b"Content-Length: 3\r\n\r\nabc"
+def test_requests_on_one_connection_are_answered_in_order(server):
+    sized = HEAD + b"Content-Length: 3\r\n\r\nabc"
     chunked = HEAD + b"Transfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n2\r\nde\r\n0\r\n\r\n"
     last = HEAD + b"Connection: close\r\n\r\n"
-    answer = ask(served, one + chunked + last)
-    assert served.seen == [b"abc", b"abcde", b""]
+    answer = exchange_bytes(server, sized + chunked + last)
+    assert server.bodies == [b"abc", b"abcde", b""]
     assert answer.count(b"HTTP/1.1 200") == 3
     assert answer.index(b"\r\n\r\n1") < answer.index(b"\r\n\r\n2") < answer.index(b"\r\n\r\n3")
 
@@ -102,10 +104,10 @@
     "body",
     [b"-3\r\nabc\r\n0\r\n\r\n", b"3\r\nabcd\r\n0\r\n\r\n", b"0x3\r\nabc\r\n0\r\n\r\n", b"3\r\nab"],
 )
-def test_broken_chunks_never_reach_the_handler_whole(served, body):
-    with socket.create_connection(("127.0.0.1", served.port), 5.0) as sock:
+def test_malformed_chunked_body_is_not_accepted(server, body):
+    with socket.create_connection(("127.0.0.1", server.port), 5.0) as sock:
         sock.sendall(HEAD + b"Transfer-Encoding: chunked\r\n\r\n" + body)
         sock.shutdown(socket.SHUT_WR)
         answer = sock.recv(65536)
-    assert served.seen == []
+    assert server.bodies == []
     assert b" 200 " not in answer
--- a/tests/test_system.py
+++ b/tests/test_system.py
@@ -1,4 +1,4 @@
-"""The whole path through real processes."""
+"""Calls from callers through boxes to targets, as real processes."""
 
 import json
 import signal
@@ -39,7 +39,7 @@
     return sum(fleet.report(i).runs.get(mark, 0) for i in range(len(fleet.targets)))
 
 
-def test_each_call_gets_its_own_whole_answer(fleet, client):
+def test_each_call_gets_its_own_complete_answer(fleet, client):
     for number in range(20):
         mark = f"own-{number}"
         for request in (LOOKUP, LOAN):
@@ -50,19 +50,19 @@
             assert json.loads(result.data)["mark"] == mark
 
 
-def test_loan_that_got_no_answer_is_unknown_and_never_runs_twice(fleet, client, faults):
+def test_loan_without_an_answer_is_unknown_and_runs_once(fleet, client, faults):
     faults(TargetFaults(drop=1))
     request = Request(**{**_fields(LOAN), "headers": {"X-Mark": "dropped"}})
     entry = client.addresses().addresses[0]
     key = entry.once_stem + "dropped"
     first = client.send(request, entry, key)
     assert (first.outcome, first.reason) == (Outcome.UNKNOWN, "target-broken")
-    again = client.send(request, entry, key)
-    assert (again.outcome, again.reason) == (Outcome.UNKNOWN, "once-key-known")
+    second = client.send(request, entry, key)
+    assert (second.outcome, second.reason) == (Outcome.UNKNOWN, "once-key-known")
     assert runs(fleet, "dropped") == 1
 
 
-def test_lookup_that_got_no_answer_is_tried_elsewhere(fleet, client, faults):
+def test_lookup_without_an_answer_is_retried_at_another_target(fleet, client, faults):
     faults(TargetFaults(drop=1))
     fleet.set_target(1, TargetFaults())
     request = Request(**{**_fields(LOOKUP), "headers": {"X-Mark": "again"}})
@@ -70,7 +70,7 @@
     assert {r.outcome for r in results} == {Outcome.ANSWERED}
 
 
-def test_loan_refused_with_the_mark_is_not_run(fleet, client, faults):
+def test_loan_refused_by_the_target_is_not_run(fleet, client, faults):
     faults(TargetFaults(refuse=True))
     request = Request(**{**_fields(LOAN), "headers": {"X-Mark": "refused"}})
     result = client.call(request)
@@ -79,7 +79,7 @@
     assert runs(fleet, "refused") == 0
 
 
-def test_repeat_of_an_answered_loan_gets_the_kept_answer(fleet, client):
+def test_retry_of_an_answered_loan_gets_the_stored_answer(fleet, client):
     request = Request(**{**_fields(LOAN), "headers": {"X-Mark": "twice"}})
     entry = client.addresses().addresses[0]
     key = entry.once_stem + "twice"
@@ -89,7 +89,7 @@
     assert runs(fleet, "twice") == 1
 
 
-def test_loan_sent_by_way_of_another_box_does_not_run(fleet, client):
+def test_loan_with_the_key_of_another_box_is_not_run(fleet, client):
     first, second = client.addresses().addresses[:2]
     request = Request(**{**_fields(LOAN), "headers": {"X-Mark": "elsewhere"}})
     result = client.send(request, second, first.once_stem + "elsewhere")
@@ -108,7 +108,7 @@
         ({"headers": {"Dunlinnotch-Deadline-Ms": "soon"}}, "deadline-invalid"),
     ],
 )
-def test_bad_call_is_refused_as_not_run(fleet, client, changed, reason):
+def test_invalid_call_is_refused_as_not_run(fleet, client, changed, reason):
     headers = {
         "Dunlinnotch-Service": changed.get("service", "holdings"),
         "Dunlinnotch-Kind": changed.get("kind", "lookup"),
@@ -120,9 +120,7 @@
     assert response.headers["Dunlinnotch-Reason"] == reason
 
 
-def test_answer_with_bytes_after_its_end_is_given_once_and_its_connection_dropped(
-    fleet, client, faults
-):
+def test_bytes_after_an_answer_are_not_read_as_the_next_answer(fleet, client, faults):
     faults(TargetFaults(longer=5))
     for number in range(10):
         request = Request(**{**_fields(LOOKUP), "headers": {"X-Mark": f"longer-{number}"}})
@@ -131,7 +129,7 @@
         assert json.loads(result.data)["mark"] == f"longer-{number}"
 
 
-def test_drained_box_ends_by_itself_and_cuts_no_call(fleet, faults):
+def test_drained_box_answers_its_calls_and_exits(fleet, faults):
     fleet.start_boxes({"box-3": "hall-b"})
     fleet.edit("box-1", Change("/", "keep_s", "0.1"))
     box = fleet.boxes.pop("box-3")
@@ -149,7 +147,7 @@
     assert "box-3" not in [entry.box for entry in answer.addresses]
 
 
-def test_caller_that_leaves_cancels_its_call_at_the_target(fleet, faults):
+def test_call_of_a_caller_that_leaves_is_cancelled_at_the_target(fleet, faults):
     faults(TargetFaults(late_s=30.0))
     before = cancelled(fleet)
     host, _, port = fleet.boxes["box-1"].caller.rpartition(":")
@@ -159,7 +157,7 @@
     wait_until(lambda: cancelled(fleet) > before, what="the call is cancelled")
 
 
-def test_call_past_its_deadline_is_answered_at_once_and_cancelled(fleet, client, faults):
+def test_call_past_its_deadline_is_answered_and_cancelled(fleet, client, faults):
     faults(TargetFaults(late_s=30.0))
     before = cancelled(fleet)
     result = client.call(Request("holdings", "lookup", deadline_s=1.0))
@@ -168,34 +166,34 @@
     wait_until(lambda: cancelled(fleet) > before, what="the call is cancelled")
 
 
-SIZE = 200 * 1024 * 1024
-PART = b"x" * (64 * 1024)
+BODY_BYTES = 200 * 1024 * 1024
+CHUNK = b"x" * (64 * 1024)
 
 
-def resident(fleet, name):
-    """Return the most memory that a box has had resident, in bytes."""
+def peak_memory(fleet, name):
+    """Return the peak resident memory of a box in bytes."""
     pid = fleet.boxes[name].process.popen.pid
     status = Path(f"/proc/{pid}/status").read_text()
     return int(status.split("VmHWM:")[1].split()[0]) * 1024
 
 
-def test_large_bodies_stream_both_ways_in_bounded_memory(fleet):
-    before = resident(fleet, "box-1")
+def test_large_bodies_are_streamed_in_bounded_memory(fleet):
+    before = peak_memory(fleet, "box-1")
     box = f"http://{fleet.boxes['box-1'].caller}"
     headers = {"Dunlinnotch-Service": "holdings", "Dunlinnotch-Kind": "lookup"}
     sent = fleet.http.request(
         "POST",
         f"{box}/upload",
-        body=(PART for _ in range(SIZE // len(PART))),
-        headers={**headers, "Content-Length": str(SIZE)},
+        body=(CHUNK for _ in range(BODY_BYTES // len(CHUNK))),
+        headers={**headers, "Content-Length": str(BODY_BYTES)},
         timeout=60.0,
     )
-    assert json.loads(sent.data)["size"] == SIZE
-    got = fleet.http.request(
-        "GET", f"{box}/", headers={**headers, "X-Stream": str(SIZE)}, preload_content=False
+    assert json.loads(sent.data)["size"] == BODY_BYTES
+    received = fleet.http.request(
+        "GET", f"{box}/", headers={**headers, "X-Stream": str(BODY_BYTES)}, preload_content=False
     )
-    assert sum(len(part) for part in got.stream(len(PART))) == SIZE
-    assert resident(fleet, "box-1") - before < 32 * 1024 * 1024
+    assert sum(len(chunk) for chunk in received.stream(len(CHUNK))) == BODY_BYTES
+    assert peak_memory(fleet, "box-1") - before < 32 * 1024 * 1024
 
 
 def cancelled(fleet):
