--- a/dunlinnotch/transport/exchange.py
+++ b/dunlinnotch/transport/exchange.py
@@ -66,6 +66,10 @@
         Length of the request body in bytes; ``None`` if the body is chunked.
     remote : str
         Address of the caller, as ``host:port``.
+
+    Notes
+    -----
+    Implements :class:`~dunlinnotch.protocol.attempt.CallerWatch`.
     """
 
     def __init__(self, request: ParsedRequest) -> None:
@@ -245,7 +249,11 @@
         )
 
     def fileno(self) -> int | None:
-        """Return the descriptor of the connection, or ``None`` if unread bytes are buffered."""
+        """Return the descriptor to poll for the end of the connection.
+
+        ``None`` if unread bytes are buffered: the caller has sent another request and is
+        assumed to be connected.
+        """
         return None if self._conn.rfile.has_data() else self._sock.fileno()
 
     def gone(self) -> bool:
--- a/dunlinnotch/transport/peers.py
+++ b/dunlinnotch/transport/peers.py
@@ -30,7 +30,7 @@
 
 #: Maximum size of a message from a peer, in bytes.
 MAX_MESSAGE_BYTES = 16 * 1024 * 1024
-#: Time without a message after which a link is closed, in seconds.
+#: Timeout for connecting to a peer and for each message, after which a link is closed, in seconds.
 SILENCE_TIMEOUT_S = 2.0
 _READ_BYTES = 64 * 1024
 _MIN_RECONNECT_DELAY_S = 0.1
--- a/dunlinnotch/transport/server.py
+++ b/dunlinnotch/transport/server.py
@@ -171,6 +171,7 @@
     def respond(self) -> None:
         """Serve the request."""
         request: ServerRequest = self.req
+        # The exchange sends the head; this stops cheroot from sending one of its own.
         request.sent_headers = True
         if request.response_protocol != "HTTP/1.1" or not _URI.match(request.uri):
             request.simple_response(
@@ -211,6 +212,7 @@
     ConnectionClass = ServerConnection
     request_queue_size = 512
     max_request_header_size = MAX_HEAD_BYTES
+    # In effect no limit: ``max_connections`` applies instead.
     keep_alive_conn_limit = 1_000_000
 
     def __init__(
@@ -223,6 +225,7 @@
         head_timeout_s: Seconds = 5.0,
         idle_timeout_s: Seconds = 60.0,
     ) -> None:
+        # The worker threads of cheroot are not used, see process_conn.
         super().__init__(bind, _Gateway, minthreads=1, maxthreads=1)
         self.handler = handler
         self.refuse_head = refuse_head
--- a/dunlinnotch/transport/targets.py
+++ b/dunlinnotch/transport/targets.py
@@ -206,7 +206,7 @@
         send_failure = self._send(conn, call, body)
         if send_failure is not None and send_failure.reason is not Reason.TARGET_BROKEN:
             return send_failure
-        # A target may answer and close before it has read the whole request.
+        # The target may have answered and closed before it had read the whole request.
         head_failure = self._await_head(conn, call, watch)
         if head_failure is not None:
             return send_failure or head_failure
@@ -365,8 +365,8 @@
         size = 0
         complete = False
         with contextlib.suppress(BodyCutError):
-            for part in body.chunks():
-                size += len(part)
+            for chunk in body.chunks():
+                size += len(chunk)
                 if size > _MAX_REFUSAL_BYTES:
                     break
             else:
