--- a/dunlinnotch/daemon/box.py
+++ b/dunlinnotch/daemon/box.py
@@ -80,13 +80,13 @@
         self.links = PeerLinks(
             self.core.membership,
             seeds=config.peers.seeds,
-            count=config.peers.links,
-            heartbeat_s=config.peers.heartbeat_ms / 1000,
+            max_links=config.peers.links,
+            sync_interval_s=config.peers.heartbeat_ms / 1000,
             on_traffic=lambda size: self.metrics.count(Metric.PEER_BYTES, size),
         )
         operator = OperatorPort(self.core, self.links, peer_bytes=lambda: self.peer_bytes)
         self._operator_server = HttpServer(
-            split_address(config.box.operator), operator, operator.bad_head, connections=64
+            split_address(config.box.operator), operator, operator.refuse_head, max_connections=64
         )
         sys.setswitchinterval(_THREAD_SWITCH_INTERVAL_S)
 
@@ -145,10 +145,10 @@
         return HttpServer(
             split_address(self.config.box.caller),
             front,
-            front.bad_head,
-            connections=limits.connections,
-            head_s=limits.head_ms / 1000,
-            idle_s=limits.idle_ms / 1000,
+            front.refuse_head,
+            max_connections=limits.connections,
+            head_timeout_s=limits.head_ms / 1000,
+            idle_timeout_s=limits.idle_ms / 1000,
         )
 
     def run(self) -> None:
@@ -171,7 +171,7 @@
         self.server.start_in_background()
         event(_log, "started", box=self.core.name, caller=self.config.box.caller)
         self._stopped.wait()
-        self.links.wake()
+        self.links.sync_now()
         time.sleep(self.config.peers.heartbeat_ms / 1000 * _FINAL_HEARTBEATS)
         self.server.close()
         self._operator_server.close()
@@ -188,7 +188,7 @@
         """Begin a planned stop that an edit of the settings can't cancel."""
         self.signalled = True
         self.core.begin_drain()
-        self.links.wake()
+        self.links.sync_now()
 
     def _run_or_stop(self, loop: Callable[[], None]) -> None:
         """Run a loop; an unexpected exception stops the process, not just the thread."""
@@ -205,7 +205,7 @@
         while not self._stopped.is_set():
             try:
                 if self.core.poll_store():
-                    self.links.wake()
+                    self.links.sync_now()
             except PlatformUnavailableError as error:
                 event(_log, "platform-unavailable", level=logging.WARNING, detail=str(error))
             factor = 1 if self.core.is_reader() else _NON_READER_FACTOR
