--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -404,13 +404,13 @@
         self.limits.idle_s = limits.idle_s
         self.forwarder.keep_only({kind.name for kind in table.kinds})
         max_connections = min((s.connections for s in table.services.values()), default=256)
-        self._target_client.set_most(
+        self._target_client.set_max_connections(
             max(4, max_connections // max(self.mesh.max_boxes, _MIN_BOXES))
         )
 
     def _apply_target_rows(self, rows: list[TableRow]) -> None:
         self._target_listing.apply(rows)
-        self._target_client.keep_only(self.instances.addresses())
+        self._target_client.close_others(self.instances.addresses())
         self.probes.retain({instance.name for instance in self.instances.all()})
 
     def _gauges(self) -> dict[str, float]:
--- a/dunlinnotch/transport/stream/client.py
+++ b/dunlinnotch/transport/stream/client.py
@@ -89,7 +89,7 @@
         if self._sender is not None:
             self._sender.cancel()
         if self._incoming.done and sent:
-            self._pool.give_back(link)
+            self._pool.release_link(link)
         else:
             self._pool.discard(link)
 
@@ -105,39 +105,39 @@
     def __init__(self, dialect: TargetDialect) -> None:
         self._dialect = dialect
         self._pools: dict[Address, LinkPool] = {}
-        self._most = 64
-        self.opened_before = 0
+        self._max_links = 64
+        self.opened_in_closed_pools = 0
 
-    def set_most(self, most: int) -> None:
+    def set_max_connections(self, max_links: int) -> None:
         """Set how many connections to one target may be open at once."""
-        self._most = most
+        self._max_links = max_links
         for pool in self._pools.values():
-            pool.most = most
+            pool.max_links = max_links
 
     def pool(self, address: Address) -> LinkPool:
         """Return the connections of one target."""
         pool = self._pools.get(address)
         if pool is None:
-            pool = self._pools[address] = LinkPool(address, most=self._most)
+            pool = self._pools[address] = LinkPool(address, max_links=self._max_links)
         return pool
 
-    def keep_only(self, addresses: set[Address]) -> None:
+    def close_others(self, addresses: set[Address]) -> None:
         """Close idle connections to targets that are no more."""
         for address in [a for a in self._pools if a not in addresses]:
             pool = self._pools.pop(address)
-            self.opened_before += pool.opened
+            self.opened_in_closed_pools += pool.opened
             pool.close()
 
     @property
     def opened(self) -> int:
         """Connections opened so far."""
-        return self.opened_before + sum(pool.opened for pool in self._pools.values())
+        return self.opened_in_closed_pools + sum(pool.opened for pool in self._pools.values())
 
     def release(self, address: Address, probe_result: ProbeResult) -> None:
         """Give back the connection of a probe that is not used."""
         link, probe_result.link = probe_result.link, None
         if isinstance(link, TargetLink):
-            self.pool(address).give_back(link)
+            self.pool(address).release_link(link)
 
     async def is_gone(self, address: Address) -> bool:
         """Return whether nobody listens at a target's address any more."""
@@ -152,7 +152,7 @@
         path : str
         """
         pool = self.pool(address)
-        link = await pool.take()
+        link = await pool.acquire_link()
         if isinstance(link, NotSent):
             return ProbeResult(None, healthy=False, detail=link.detail)
         done = False
@@ -170,7 +170,7 @@
             probe_result = ProbeResult(instance, incoming.status == 200, status)
             done = True
             if instance is None or link.spoiled or link.over:
-                pool.give_back(link)
+                pool.release_link(link)
             else:
                 probe_result.link = link
             return probe_result
@@ -225,7 +225,7 @@
         if isinstance(link, NotSent):
             return link
         if not may_send():
-            pool.give_back(link)
+            pool.release_link(link)
             return NotSent(Reason.NO_TARGET, "the target was given up before it was reached")
         ended: AttemptEnd | None = None
         sender: asyncio.Task[None] | None = None
@@ -250,7 +250,7 @@
                 if sender is not None:
                     sender.cancel()
                 if isinstance(ended, NotRun) and sender is None:
-                    pool.give_back(link)
+                    pool.release_link(link)
                 else:
                     pool.discard(link)
         return ended
@@ -264,7 +264,7 @@
             link, probe_result.link = probe_result.link, None
             if isinstance(link, TargetLink) and not link.over:
                 return link
-        return await pool.take(rested_most=_RESTED_ONCE_S if at_most_once else IDLE_MOST_S)
+        return await pool.acquire_link(max_idle=_RESTED_ONCE_S if at_most_once else IDLE_MOST_S)
 
     async def _await_answer(
         self,
--- a/dunlinnotch/transport/stream/fetch.py
+++ b/dunlinnotch/transport/stream/fetch.py
@@ -33,12 +33,12 @@
     Parameters
     ----------
     address : str
-    most : int, default 8
+    max_links : int, default 8
         Connections that may be open at once.
     """
 
-    def __init__(self, address: Address, *, most: int = 8) -> None:
-        self._pool = LinkPool(address, most=most)
+    def __init__(self, address: Address, *, max_links: int = 8) -> None:
+        self._pool = LinkPool(address, max_links=max_links)
         self._host = Header("Host", address)
         self.calls = 0
         self.failures = 0
@@ -63,7 +63,7 @@
             raise PlatformUnavailableError(msg) from None
 
     async def _fetch(self, method: str, path: str, body: bytes) -> Fetched:
-        link = await self._pool.take()
+        link = await self._pool.acquire_link()
         if isinstance(link, NotSent):
             raise LinkBrokenError(link.detail)
         whole = False
@@ -78,6 +78,6 @@
             return Fetched(incoming.status, incoming.headers, data)
         finally:
             if whole:
-                self._pool.give_back(link)
+                self._pool.release_link(link)
             else:
                 self._pool.discard(link)
--- a/dunlinnotch/transport/stream/link_pool.py
+++ b/dunlinnotch/transport/stream/link_pool.py
@@ -27,29 +27,29 @@
     Parameters
     ----------
     address : str
-    most : int
+    max_links : int
         Connections that may be open at once.
     """
 
-    def __init__(self, address: Address, *, most: int) -> None:
+    def __init__(self, address: Address, *, max_links: int) -> None:
         self.address = address
-        self.most = most
+        self.max_links = max_links
         self.open: set[TargetLink] = set()
         self.opened = 0
         self._idle: list[TargetLink] = []
         self._loop = asyncio.get_running_loop()
 
-    async def take(self, *, rested_most: Seconds = IDLE_MOST_S) -> TargetLink | NotSent:
+    async def acquire_link(self, *, max_idle: Seconds = IDLE_MOST_S) -> TargetLink | NotSent:
         """Return an idle connection, the last used first, or open one.
 
         Parameters
         ----------
-        rested_most : float, optional
+        max_idle : float, optional
             Seconds that the connection may have been idle.
         """
         while self._idle:
             link = self._idle.pop()
-            if link.take(self._loop.time(), rested_most=rested_most):
+            if link.take(self._loop.time(), rested_most=max_idle):
                 return link
             self._drop(link)
         return await self.connect()
@@ -71,21 +71,21 @@
                     return link.refused
                 await asyncio.sleep(_ENDING_S)
                 if not link.over:
-                    self.give_back(link)
+                    self.release_link(link)
                     return False
                 link = await self.connect()
         except TimeoutError:
             return False
         if isinstance(link, NotSent):
             return link.refused
-        self.give_back(link)
+        self.release_link(link)
         return False
 
     async def connect(self) -> TargetLink | NotSent:
         """Open a connection."""
         self._forget_closed()
-        if len(self.open) >= self.most:
-            return NotSent(Reason.CONNECT_FAILED, f"all {self.most} connections are in use")
+        if len(self.open) >= self.max_links:
+            return NotSent(Reason.CONNECT_FAILED, f"all {self.max_links} connections are in use")
         host, _, port = self.address.rpartition(":")
         link = TargetLink(self.address)
         self.open.add(link)
@@ -103,7 +103,7 @@
         self.opened += 1
         return link
 
-    def give_back(self, link: TargetLink) -> None:
+    def release_link(self, link: TargetLink) -> None:
         """Keep a connection for later if it can be used again, else close it."""
         if link.rest(self._loop.time()):
             self._idle.append(link)
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -500,18 +500,18 @@
     async def test():
         async with stream_world(workers=2) as world:
             box = world.boxes[0]
-            take_link = LinkPool.take
+            original = LinkPool.acquire_link
             leaving_address = []
 
             async def connect_while_leaving(pool, **more):
-                link = await take_link(pool, **more)
+                link = await original(pool, **more)
                 if not leaving_address:
                     leaving_address.append(pool.address)
                     leaving = next(i for i in box.instances.all() if i.address == pool.address)
                     box.instances.remove(leaving.name)
                 return link
 
-            monkeypatch.setattr(LinkPool, "take", connect_while_leaving)
+            monkeypatch.setattr(LinkPool, "acquire_link", connect_while_leaving)
             # Without probes, the connection is opened for the request itself.
             box.probes.max_per_s = 0.0
             monkeypatch.setattr(type(box.probes), "is_available", lambda self, target: False)
