--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -352,7 +352,7 @@
         event(_log, "stopping", box=self.mesh.name, in_flight=self.forwarder.in_flight)
         self.mesh.state = DRAINING
         self.gossip.announce_state()
-        self._front.last_answers = True
+        self._front.keep_alive_disabled = True
         await asyncio.sleep(plan.refuse)
         self.refusing = True
         await asyncio.sleep(plan.close - plan.refuse)
@@ -371,7 +371,7 @@
 
     async def _serve(self, exchange: Exchange) -> None:
         if self.refusing:
-            exchange.close_after()
+            exchange.close_after_answer()
             exchange.reply(503, [Header("Retry-After", "0.05")], b"")
             return
         request = self._adapter.read_request(exchange)
@@ -398,10 +398,10 @@
 
     def _apply_routes(self, table: RouteTable) -> None:
         limits = table.limits
-        self.limits.head_bytes = limits.head_bytes
-        self.limits.body_bytes = limits.body_bytes
-        self.limits.head_s = limits.head_s
-        self.limits.idle_s = limits.idle_s
+        self.limits.max_head_bytes = limits.head_bytes
+        self.limits.max_body_bytes = limits.body_bytes
+        self.limits.head_timeout_s = limits.head_s
+        self.limits.idle_timeout_s = limits.idle_s
         self.forwarder.keep_only({kind.name for kind in table.kinds})
         max_connections = min((s.connections for s in table.services.values()), default=256)
         self._target_client.set_max_connections(
--- a/dunlinnotch/platform/dialect.py
+++ b/dunlinnotch/platform/dialect.py
@@ -59,7 +59,7 @@
         arrived=exchange.arrived,
         deadline=exchange.arrived + deadline,
         length=exchange.length,
-        caller=exchange.remote,
+        caller=exchange.remote_ip,
     )
 
 
--- a/dunlinnotch/standins/users/store.py
+++ b/dunlinnotch/standins/users/store.py
@@ -205,7 +205,7 @@
     # -- the protocol
 
     async def _serve(self, exchange: Exchange) -> None:
-        caller = exchange.remote
+        caller = exchange.remote_ip
         self.calls += 1
         self.calls_by[caller] = self.calls_by.get(caller, 0) + 1
         fault = self.faults.refused.get(caller, self.faults.fault)
--- a/dunlinnotch/standins/users/worker.py
+++ b/dunlinnotch/standins/users/worker.py
@@ -345,10 +345,10 @@
         whole = _answer_bytes(headers, body)
         if fault is WorkerFault.SURPLUS:
             exchange.write_raw(whole + whole)
-            exchange.mark_ended()
+            exchange.mark_finished()
         elif fault is WorkerFault.LATE_SURPLUS:
             exchange.write_raw(whole)
-            exchange.mark_ended()
+            exchange.mark_finished()
             asyncio.get_running_loop().call_later(0.01, exchange.write_raw, whole)
         elif fault is WorkerFault.CUT:
             exchange.write_raw(whole[:-3])
--- a/dunlinnotch/transport/stream/server.py
+++ b/dunlinnotch/transport/stream/server.py
@@ -37,25 +37,25 @@
 
     Parameters
     ----------
-    head_bytes, body_bytes : int
-    head_s, idle_s : float
+    max_head_bytes, max_body_bytes : int
+    head_timeout_s, idle_timeout_s : float
         Seconds for a whole head, and between two requests.
     """
 
-    __slots__ = ("body_bytes", "head_bytes", "head_s", "idle_s")
+    __slots__ = ("max_body_bytes", "max_head_bytes", "head_timeout_s", "idle_timeout_s")
 
     def __init__(
         self,
         *,
-        head_bytes: int = 16384,
-        body_bytes: int = 64 * 1024 * 1024,
-        head_s: Seconds = 5.0,
-        idle_s: Seconds = 60.0,
+        max_head_bytes: int = 16384,
+        max_body_bytes: int = 64 * 1024 * 1024,
+        head_timeout_s: Seconds = 5.0,
+        idle_timeout_s: Seconds = 60.0,
     ) -> None:
-        self.head_bytes = head_bytes
-        self.body_bytes = body_bytes
-        self.head_s = head_s
-        self.idle_s = idle_s
+        self.max_head_bytes = max_head_bytes
+        self.max_body_bytes = max_body_bytes
+        self.head_timeout_s = head_timeout_s
+        self.idle_timeout_s = idle_timeout_s
 
 
 class Exchange:
@@ -80,11 +80,11 @@
         self.length: int | None = 0
         self.arrived = arrived
         self.keep_alive = True
-        self.error: int = 0
+        self.error_status: int = 0
         self._body = BodyQueue(link)
         self._received = 0
         self._begun = False
-        self._ended = False
+        self._finished = False
         self._chunked = False
 
     def header(self, name: str) -> str | None:
@@ -96,7 +96,7 @@
     def feed(self, part: bytes) -> None:
         """Take in a part of the body."""
         self._received += len(part)
-        if self._received > self._link.server.limits.body_bytes:
+        if self._received > self._link.server.limits.max_body_bytes:
             self.refuse(413)
         self._body.put(part)
 
@@ -106,8 +106,8 @@
 
     def refuse(self, status: int) -> None:
         """Note that the request can't be taken; the first reason counts."""
-        self.error = self.error or status
-        self._body.fail(f"the body can't be taken (status {self.error})")
+        self.error_status = self.error_status or status
+        self._body.fail(f"the body can't be taken (status {self.error_status})")
 
     @property
     def body_done(self) -> bool:
@@ -131,7 +131,7 @@
         """Read what is left of the body; return whether its end came in time."""
         if self.body_done:
             self._body.drop()
-            return not self.error
+            return not self.error_status
         try:
             async with asyncio.timeout(_DISCARD_S):
                 async for _ in self.body():
@@ -148,9 +148,9 @@
         return self._begun
 
     @property
-    def ended(self) -> bool:
+    def finished(self) -> bool:
         """Whether the whole answer has gone out."""
-        return self._ended
+        return self._finished
 
     def begin(
         self, status: int, headers: Sequence[Header], *, length: int | None, phrase: str = ""
@@ -159,7 +159,7 @@
         bodiless = self.method == "HEAD" or status in (204, 304)
         self._chunked = length is None and not bodiless
         self._begun = True
-        self.keep_alive = self.keep_alive and not self._link.server.last_answers
+        self.keep_alive = self.keep_alive and not self._link.server.keep_alive_disabled
         close = self._link.closing or not self.keep_alive
         shown = None if status in (204, 304) else length
         self._link.write(answer_head(status, phrase, headers, length=shown, close=close))
@@ -182,34 +182,34 @@
         """End the answer cleanly."""
         if self._chunked:
             self._link.write(b"0\r\n\r\n")
-        self._ended = True
+        self._finished = True
 
     def reply(self, status: int, headers: Sequence[Header], body: bytes, phrase: str = "") -> None:
         """Send a whole answer."""
         self.begin(status, headers, length=len(body), phrase=phrase)
         if body and self.method != "HEAD":
             self._link.write(body)
-        self._ended = True
+        self._finished = True
 
     @property
-    def remote(self) -> str:
+    def remote_ip(self) -> str:
         """The caller's IP number."""
-        return self._link.remote
+        return self._link.remote_ip
 
     def write_raw(self, data: bytes) -> None:
         """Send bytes as they are; for stand-ins that answer badly."""
         self._begun = True
         self._link.write(data)
 
-    def mark_ended(self) -> None:
+    def mark_finished(self) -> None:
         """Count what was sent raw as a whole answer."""
-        self._ended = True
+        self._finished = True
 
     def abort(self) -> None:
         """Reset the connection."""
         self._link.abort()
 
-    def close_after(self) -> None:
+    def close_after_answer(self) -> None:
         """Have the connection closed once this answer is out."""
         self.keep_alive = False
 
@@ -260,7 +260,7 @@
             self._parser.feed_data(data)
         except (httptools.HttpParserUpgrade, httptools.HttpParserError):
             self._break(400)
-        if self._reading is None and self._head_size > self.server.limits.head_bytes:
+        if self._reading is None and self._head_size > self.server.limits.max_head_bytes:
             self._break(431)
         if len(self._waiting) > _AHEAD_MAX:
             self.pause_reading()
@@ -314,7 +314,7 @@
                 exchange.refuse(400)
         else:
             exchange.length = int(exchange.header("content-length") or 0)
-        if (exchange.length or 0) > self.server.limits.body_bytes:
+        if (exchange.length or 0) > self.server.limits.max_body_bytes:
             exchange.refuse(413)
         self._reading = exchange
         self._head_size = 0
@@ -341,7 +341,7 @@
         return self.server.closing or self._broken
 
     @property
-    def remote(self) -> str:
+    def remote_ip(self) -> str:
         """The caller's IP number."""
         peer = None if self._transport is None else self._transport.get_extra_info("peername")
         return "" if peer is None else str(peer[0])
@@ -368,7 +368,7 @@
                 exchange = self._waiting.popleft()
                 self.resume_reading()
                 await self._answer(exchange)
-                if not exchange.keep_alive or self.closing or not exchange.ended:
+                if not exchange.keep_alive or self.closing or not exchange.finished:
                     break
         except asyncio.CancelledError:
             if not self.over:
@@ -377,13 +377,13 @@
             self.close()
 
     async def _answer(self, exchange: Exchange) -> None:
-        if exchange.error:
-            exchange.close_after()
-            exchange.reply(exchange.error, (), b"")
+        if exchange.error_status:
+            exchange.close_after_answer()
+            exchange.reply(exchange.error_status, (), b"")
         else:
             await self.server.handler(exchange)
         if not await exchange.discard_body():
-            exchange.close_after()
+            exchange.close_after_answer()
 
     async def _next(self) -> bool:
         """Wait for a request; return False if the connection is to be closed."""
@@ -394,9 +394,9 @@
                 return False
             now = self.server.loop.time()
             if self._head_started is not None:
-                until = self._head_started + limits.head_s
+                until = self._head_started + limits.head_timeout_s
             else:
-                until = rested + limits.idle_s
+                until = rested + limits.idle_timeout_s
             if now >= until:
                 if self._head_started is not None:
                     self._break(408)
@@ -432,7 +432,7 @@
         self.links: set[ServerLink] = set()
         self.closing = False
         #: Whether each connection is closed after the answer it gets next.
-        self.last_answers = False
+        self.keep_alive_disabled = False
         self._server: asyncio.Server | None = None
 
     async def listen(self, address: Address) -> Address:
--- a/tests/test_stream_server.py
+++ b/tests/test_stream_server.py
@@ -37,7 +37,7 @@
             self.bodies.append(b"".join([part async for part in exchange.body()]))
             exchange.reply(200, (), b"ok")
         except BodyCutError:
-            exchange.reply(exchange.error or 400, (), b"")
+            exchange.reply(exchange.error_status or 400, (), b"")
         except asyncio.CancelledError:
             self.cancelled += 1
             raise
@@ -123,14 +123,14 @@
 @pytest.mark.parametrize(
     ("limits", "sent", "status"),
     [
-        ({"head_bytes": 200}, b"GET / HTTP/1.1\r\nHost: a\r\nX: " + b"x" * 400, 431),
-        ({"body_bytes": 3}, b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\n", 413),
+        ({"max_head_bytes": 200}, b"GET / HTTP/1.1\r\nHost: a\r\nX: " + b"x" * 400, 431),
+        ({"max_body_bytes": 3}, b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\n", 413),
         (
-            {"body_bytes": 3},
+            {"max_body_bytes": 3},
             b"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nabcd\r\n",
             413,
         ),
-        ({"head_s": 0.05}, b"GET / HTTP/1.1\r\nHo", 408),
+        ({"head_timeout_s": 0.05}, b"GET / HTTP/1.1\r\nHo", 408),
     ],
 )
 def test_limits_are_kept(limits, sent, status):
@@ -147,7 +147,7 @@
 
 def test_an_idle_connection_is_closed_without_a_word():
     async def test():
-        async with Served(idle_s=0.05) as served:
+        async with Served(idle_timeout_s=0.05) as served:
             reader, writer = await served.connect()
             assert await reader.read() == b""
             writer.close()
