--- a/dunlinnotch/daemon/gossip.py
+++ b/dunlinnotch/daemon/gossip.py
@@ -220,7 +220,7 @@
         sent_at = self._loop.time()
         try:
             delta, age_ms = await fetch_table(
-                peer, table, version, era=replica.epoch, timeout=_FETCH_TIMEOUT_S
+                peer, table, version, epoch=replica.epoch, timeout=_FETCH_TIMEOUT_S
             )
         except (ProtocolError, OSError, TimeoutError) as error:
             event(_log, "fetch-failed", table=table, peer=peer, detail=repr(error))
--- a/dunlinnotch/transport/stream/peers.py
+++ b/dunlinnotch/transport/stream/peers.py
@@ -24,7 +24,7 @@
     from dunlinnotch.types import Address, Seconds
 
     #: Given a table, a version and its era, returns the changes since and their age in ms.
-    Teller = Callable[[str, int, int], tuple[TableDelta, int]]
+    DeltaReader = Callable[[str, int, int], tuple[TableDelta, int]]
 
 _REQUEST_MAX = 4096
 _TABLE_MAX = 32 * 1024 * 1024
@@ -38,17 +38,19 @@
 
     Parameters
     ----------
-    on_word, on_crashes : callable
+    on_heartbeat, on_crash_report : callable
     """
 
     def __init__(
-        self, on_word: Callable[[Heartbeat], None], on_crashes: Callable[[CrashReport], None]
+        self,
+        on_heartbeat: Callable[[Heartbeat], None],
+        on_crash_report: Callable[[CrashReport], None],
     ) -> None:
-        self._on_word = on_word
-        self._on_crashes = on_crashes
+        self._on_heartbeat = on_heartbeat
+        self._on_crash_report = on_crash_report
         self._transport: asyncio.DatagramTransport | None = None
         self.sent_bytes = 0
-        self.bad = 0
+        self.malformed_datagrams = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Keep the transport."""
@@ -60,13 +62,13 @@
         try:
             messages = unpack_messages(data)
         except ProtocolError:
-            self.bad += 1
+            self.malformed_datagrams += 1
             return
         for message in messages:
             if isinstance(message, CrashReport):
-                self._on_crashes(message)
+                self._on_crash_report(message)
             else:
-                self._on_word(message)
+                self._on_heartbeat(message)
 
     def error_received(self, exc: Exception) -> None:
         """Do nothing: a peer that is not there is noticed by its silence."""
@@ -88,11 +90,11 @@
 
     Parameters
     ----------
-    tell : callable
+    read_delta : callable
     """
 
-    def __init__(self, tell: Teller) -> None:
-        self._tell = tell
+    def __init__(self, read_delta: DeltaReader) -> None:
+        self._read_delta = read_delta
         self._server: asyncio.Server | None = None
         self.sent_bytes = 0
 
@@ -110,7 +112,9 @@
         try:
             async with asyncio.timeout(_ASK_S):
                 question = await _read_object(reader, _REQUEST_MAX)
-            delta, age_ms = self._tell(str(question["t"]), int(question["v"]), int(question["e"]))
+            delta, age_ms = self._read_delta(
+                str(question["t"]), int(question["v"]), int(question["e"])
+            )
             data: bytes = msgpack.packb(pack_delta(delta, age_ms=age_ms))
             writer.write(data)
             self.sent_bytes += len(data)
@@ -122,7 +126,7 @@
 
 
 async def fetch_table(
-    address: Address, table: str, version: int, *, era: int, timeout: Seconds
+    address: Address, table: str, version: int, *, epoch: int, timeout: Seconds
 ) -> tuple[TableDelta, int]:
     """Ask a peer for what changed in a table after a version of an era.
 
@@ -134,7 +138,7 @@
     async with asyncio.timeout(timeout):
         reader, writer = await asyncio.open_connection(host, int(port))
         try:
-            writer.write(msgpack.packb({"t": table, "v": version, "e": era}))
+            writer.write(msgpack.packb({"t": table, "v": version, "e": epoch}))
             return unpack_delta(await _read_object(reader, _TABLE_MAX))
         finally:
             writer.close()
