--- a/dunlinnotch/platform/dialect.py
+++ b/dunlinnotch/platform/dialect.py
@@ -8,7 +8,7 @@
 from dunlinnotch.protocol.relay import CallerRequest, Verdict
 from dunlinnotch.state.heads import Header
 from dunlinnotch.state.target_status import TargetReport, TargetStatus
-from dunlinnotch.transport.stream.common import find
+from dunlinnotch.transport.stream.common import find_header
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -77,22 +77,22 @@
 
     def classify(self, head: AnswerHead, request: CallerRequest) -> Verdict:
         """Classify the head of an answer to a request."""
-        request_id = find(head.headers, REQUEST_ID.lower())
+        request_id = find_header(head.headers, REQUEST_ID.lower())
         if request_id is not None and request_id != request.request_id:
             return Verdict.UNRELATED
         if (
             request_id is None
-            and find(head.headers, INSTANCE.lower())
+            and find_header(head.headers, INSTANCE.lower())
             and head.status != _MISDIRECTED
         ):
             return Verdict.UNRELATED  # Answers to health checks have no request id.
         if head.status == _MISDIRECTED:
             return Verdict.WRONG_TARGET
-        if find(head.headers, NOT_RUN.lower()) is not None:
+        if find_header(head.headers, NOT_RUN.lower()) is not None:
             return Verdict.NOT_RUN
         if request_id is None:
             return Verdict.UNUSABLE
-        if 200 <= head.status < 300 and find(head.headers, SEAL.lower()) is None:
+        if 200 <= head.status < 300 and find_header(head.headers, SEAL.lower()) is None:
             return Verdict.UNUSABLE
         if head.status in _NOT_RUN_STATUSES or head.status < 200:
             # Passed on, it would guarantee to the client that the request did not run, which
@@ -106,8 +106,8 @@
 
     def status(self, head: AnswerHead) -> TargetStatus:
         """Return the load, back-off and leaving state that a worker reports in an answer."""
-        leaving = find(head.headers, LEAVING.lower()) == "1"
-        backoff = requested_backoff(head.status, find(head.headers, RETRY_AFTER.lower()))
+        leaving = find_header(head.headers, LEAVING.lower()) == "1"
+        backoff = requested_backoff(head.status, find_header(head.headers, RETRY_AFTER.lower()))
         return TargetStatus(_report(head), backoff, leaving)
 
     def probe_headers(self, address: str) -> Sequence[Header]:
@@ -121,14 +121,14 @@
         -----
         ``None`` stands for an answer that does not belong to a health check.
         """
-        if find(head.headers, REQUEST_ID.lower()) is not None:
+        if find_header(head.headers, REQUEST_ID.lower()) is not None:
             return None
-        return find(head.headers, INSTANCE.lower())
+        return find_header(head.headers, INSTANCE.lower())
 
     def refused_probe(self, head: AnswerHead) -> bool:
         """Return whether a worker refused a health check because of overload."""
         # Answers to requests carry the id of the request.
-        answers_request = find(head.headers, REQUEST_ID.lower()) is not None
+        answers_request = find_header(head.headers, REQUEST_ID.lower()) is not None
         return head.status in BACKOFF_STATUSES and not answers_request
 
 
@@ -139,7 +139,7 @@
 
 def _report(head: AnswerHead) -> TargetReport | None:
     """Return the load reported in an answer; ``None`` if it is missing or invalid."""
-    load = find(head.headers, LOAD.lower())
+    load = find_header(head.headers, LOAD.lower())
     if load is None:
         return None
     numbers = [part.strip() for part in load.split(",")]
--- a/dunlinnotch/platform/store.py
+++ b/dunlinnotch/platform/store.py
@@ -13,8 +13,8 @@
 from dunlinnotch.platform import units
 from dunlinnotch.protocol.store import HistoryGone, RowsChange, RowsRead
 from dunlinnotch.state.table_replica import TableDelta, TableRow
-from dunlinnotch.transport.stream.common import find
-from dunlinnotch.transport.stream.fetch import Fetched, Fetcher
+from dunlinnotch.transport.stream.common import find_header
+from dunlinnotch.transport.stream.fetch import FetchedAnswer, Fetcher
 
 _OK, _HISTORY_GONE, _PRECONDITION_FAILED = 200, 410, 412
 _ROWS_PER_PAGE = 500
@@ -138,12 +138,12 @@
         self._record_epoch(answer)
         return _parse_answer(answer, path)
 
-    async def _fetch(self, path: str, query: dict[str, str], timeout: float) -> Fetched:
+    async def _fetch(self, path: str, query: dict[str, str], timeout: float) -> FetchedAnswer:
         return await self._fetcher.fetch("GET", f"{path}?{urlencode(query)}", timeout=timeout)
 
-    def _record_epoch(self, answer: Fetched) -> int | None:
+    def _record_epoch(self, answer: FetchedAnswer) -> int | None:
         """Return the epoch in an answer, or the last known one if it has no valid epoch."""
-        value = find(answer.headers, _EPOCH_HEADER)
+        value = find_header(answer.headers, _EPOCH_HEADER)
         if value is not None:
             if value.isascii() and value.isdigit() and len(value) <= _MAX_EPOCH_DIGITS:
                 self._epoch = int(value)
@@ -157,7 +157,7 @@
     return {"table": table, "part": "", "tls-key": key}
 
 
-def _parse_answer(answer: Fetched, path: str) -> dict[str, Any]:
+def _parse_answer(answer: FetchedAnswer, path: str) -> dict[str, Any]:
     """Return the JSON object in an answer with status 200; raise an error for any other."""
     if answer.status != _OK:
         msg = f"{path}: status {answer.status}"
--- a/dunlinnotch/transport/stream/common.py
+++ b/dunlinnotch/transport/stream/common.py
@@ -56,7 +56,7 @@
             await self._waiter.wait()
 
 
-def find(headers: Iterable[Header], name: str) -> str | None:
+def find_header(headers: Iterable[Header], name: str) -> str | None:
     """Return the first value of a header, or None.
 
     Parameters
--- a/dunlinnotch/transport/stream/fetch.py
+++ b/dunlinnotch/transport/stream/fetch.py
@@ -19,7 +19,7 @@
     from dunlinnotch.types import Address, Seconds
 
 
-class Fetched(NamedTuple):
+class FetchedAnswer(NamedTuple):
     """An answer."""
 
     status: int
@@ -45,7 +45,7 @@
 
     async def fetch(
         self, method: str, path: str, *, body: bytes = b"", timeout: Seconds
-    ) -> Fetched:
+    ) -> FetchedAnswer:
         """Make one request.
 
         Raises
@@ -62,7 +62,7 @@
             msg = f"{method} {path}: {str(error) or f'no answer within {timeout:g} s'}"
             raise PlatformUnavailableError(msg) from None
 
-    async def _fetch(self, method: str, path: str, body: bytes) -> Fetched:
+    async def _fetch(self, method: str, path: str, body: bytes) -> FetchedAnswer:
         link = await self._pool.acquire_link()
         if isinstance(link, NotSent):
             raise LinkBrokenError(link.detail)
@@ -75,7 +75,7 @@
             incoming = await link.next_answer()
             data = b"".join([part async for part in incoming.parts()])
             whole = True
-            return Fetched(incoming.status, incoming.headers, data)
+            return FetchedAnswer(incoming.status, incoming.headers, data)
         finally:
             if whole:
                 self._pool.release_link(link)
--- a/dunlinnotch/transport/stream/server.py
+++ b/dunlinnotch/transport/stream/server.py
@@ -12,7 +12,7 @@
 
 from dunlinnotch.protocol.attempt import BodyCutError, CallerGoneError
 from dunlinnotch.state.heads import Header
-from dunlinnotch.transport.stream.common import answer_head, find
+from dunlinnotch.transport.stream.common import answer_head, find_header
 from dunlinnotch.transport.stream.link import BodyQueue, StreamLink
 
 if TYPE_CHECKING:
@@ -89,7 +89,7 @@
 
     def header(self, name: str) -> str | None:
         """Return a header's first value; ``name`` in lower case."""
-        return find(self.headers, name)
+        return find_header(self.headers, name)
 
     # -- body of the request
 
--- a/dunlinnotch/transport/stream/target_link.py
+++ b/dunlinnotch/transport/stream/target_link.py
@@ -9,7 +9,7 @@
 import httptools
 
 from dunlinnotch.state.heads import AnswerHead, Header
-from dunlinnotch.transport.stream.common import find
+from dunlinnotch.transport.stream.common import find_header
 from dunlinnotch.transport.stream.link import BodyQueue, StreamLink
 
 if TYPE_CHECKING:
@@ -154,8 +154,8 @@
         if incoming.status < 200:
             self._reading = None
             return
-        length = find(incoming.headers, "content-length")
-        chunked = find(incoming.headers, "transfer-encoding") is not None
+        length = find_header(incoming.headers, "content-length")
+        chunked = find_header(incoming.headers, "transfer-encoding") is not None
         incoming.length = None if chunked or length is None else int(length)
         bodiless = incoming.status in (204, 304)
         incoming.until_end = not chunked and length is None and not bodiless
@@ -171,7 +171,7 @@
     def _read_keep_alive(self, incoming: Incoming) -> None:
         if incoming.until_end or not self._parser.should_keep_alive():
             self.spoiled = True
-        stated = find(incoming.headers, "keep-alive") or ""
+        stated = find_header(incoming.headers, "keep-alive") or ""
         for token in stated.split(","):
             name, _, value = token.strip().partition("=")
             if name.lower() == "timeout" and value.isascii() and value.isdigit():
