--- a/dunlinnotch/transport/stream/client.py
+++ b/dunlinnotch/transport/stream/client.py
@@ -19,8 +19,8 @@
 from dunlinnotch.transport.stream.common import request_head
 from dunlinnotch.transport.stream.link_pool import LinkPool
 from dunlinnotch.transport.stream.target_link import (
-    IDLE_MOST_S,
-    Incoming,
+    MAX_IDLE_S,
+    IncomingAnswer,
     LinkBrokenError,
     TargetLink,
 )
@@ -34,7 +34,7 @@
     from dunlinnotch.types import Address, Seconds
 
 #: For what may run only once, a connection is used if it has rested for at most this long.
-_RESTED_ONCE_S = 1.0
+_MAX_IDLE_AT_MOST_ONCE_S = 1.0
 
 
 class _CallerBodyError(Exception):
@@ -47,14 +47,14 @@
     def __init__(
         self,
         pool: LinkPool,
-        incoming: Incoming,
+        incoming: IncomingAnswer,
         sender: asyncio.Task[None] | None,
         head: AnswerHead,
     ) -> None:
         self._pool = pool
         self._incoming = incoming
         self._sender = sender
-        self._first: bytes = b""
+        self._read_ahead: bytes = b""
         self.head = head
 
     async def read_complete(self, max_bytes: int) -> bytes | None:
@@ -70,15 +70,15 @@
         async for part in self._incoming.parts():
             held += part
             if len(held) > max_bytes:
-                self._first = bytes(held)
+                self._read_ahead = bytes(held)
                 return None
         return bytes(held)
 
     async def parts(self) -> AsyncIterator[bytes]:
         """Yield the body."""
-        if self._first:
-            yield self._first
-            self._first = b""
+        if self._read_ahead:
+            yield self._read_ahead
+            self._read_ahead = b""
         async for part in self._incoming.parts():
             yield part
 
@@ -141,7 +141,7 @@
 
     async def is_gone(self, address: Address) -> bool:
         """Return whether nobody listens at a target's address any more."""
-        return await self.pool(address).refuses()
+        return await self.pool(address).refuses_connections()
 
     async def probe(self, address: Address, path: str) -> ProbeResult:
         """Probe a target; the connection stays taken until it is used or released.
@@ -169,7 +169,7 @@
             status = self._dialect.status(incoming.head)
             probe_result = ProbeResult(instance, incoming.status == 200, status)
             done = True
-            if instance is None or link.spoiled or link.over:
+            if instance is None or link.not_reusable or link.closed:
                 pool.release_link(link)
             else:
                 probe_result.link = link
@@ -221,7 +221,7 @@
         When cancelled, the connection is closed, so that the target stops.
         """
         pool = self.pool(address)
-        link = await self._take_link(pool, probe_result, at_most_once=at_most_once)
+        link = await self._acquire_link(pool, probe_result, at_most_once=at_most_once)
         if isinstance(link, NotSent):
             return link
         if not may_send():
@@ -256,15 +256,17 @@
         return ended
 
     @staticmethod
-    async def _take_link(
+    async def _acquire_link(
         pool: LinkPool, probe_result: ProbeResult | None, *, at_most_once: bool
     ) -> TargetLink | NotSent:
         """Return the connection of a probe if it is still good, else another."""
         if probe_result is not None:
             link, probe_result.link = probe_result.link, None
-            if isinstance(link, TargetLink) and not link.over:
+            if isinstance(link, TargetLink) and not link.closed:
                 return link
-        return await pool.acquire_link(max_idle=_RESTED_ONCE_S if at_most_once else IDLE_MOST_S)
+        return await pool.acquire_link(
+            max_idle=_MAX_IDLE_AT_MOST_ONCE_S if at_most_once else MAX_IDLE_S
+        )
 
     async def _await_answer(
         self,
@@ -280,7 +282,7 @@
             verdict = self._dialect.classify(head, request)
             if verdict is Verdict.UNRELATED:
                 # It belongs to an earlier request; ours may still follow it.
-                link.spoiled = True
+                link.not_reusable = True
                 await incoming.skip()
                 continue
             if verdict is not Verdict.WRONG_TARGET:
@@ -295,20 +297,20 @@
             return NotRun(incoming.status, verdict is Verdict.WRONG_TARGET)
 
     @staticmethod
-    async def _next_answer(link: TargetLink, sender: asyncio.Task[None] | None) -> Incoming:
+    async def _next_answer(link: TargetLink, sender: asyncio.Task[None] | None) -> IncomingAnswer:
         if sender is None:
             return await link.next_answer()
         answer = asyncio.ensure_future(link.next_answer())
         try:
             await asyncio.wait({answer, sender}, return_when=asyncio.FIRST_COMPLETED)
             if not answer.done() and sender.done():
-                _check_sent(sender)
+                _raise_send_error(sender)
             return await answer
         finally:
             answer.cancel()
 
 
-def _check_sent(sender: asyncio.Task[None]) -> None:
+def _raise_send_error(sender: asyncio.Task[None]) -> None:
     """Raise if the body could not be sent because the caller's own was not whole."""
     error = sender.exception()
     if isinstance(error, BodyCutError):
@@ -319,9 +321,9 @@
 
 async def _send_body(link: TargetLink, body: RelayBody, *, chunked: bool) -> None:
     async for part in body.parts():
-        if link.over:
+        if link.closed:
             return
         link.write(b"%x\r\n%b\r\n" % (len(part), part) if chunked else part)
-        await link.gate.wait()
+        await link.flow_control.wait()
     if chunked:
         link.write(b"0\r\n\r\n")
--- a/dunlinnotch/transport/stream/common.py
+++ b/dunlinnotch/transport/stream/common.py
@@ -15,7 +15,7 @@
 
     from dunlinnotch.state.heads import Header
 
-_PHRASES = {
+_REASON_PHRASES = {
     200: "OK",
     204: "No Content",
     400: "Bad Request",
@@ -32,7 +32,7 @@
 }
 
 
-class WriteGate:
+class FlowControl:
     """Make a writer wait while the other end does not read."""
 
     def __init__(self) -> None:
@@ -86,7 +86,7 @@
     status: int, phrase: str, headers: Sequence[Header], *, length: int | None, close: bool
 ) -> bytes:
     """Return the head of an answer; a body of unknown length is sent in chunks."""
-    lines = [f"HTTP/1.1 {status} {phrase or _PHRASES.get(status, '')}"]
+    lines = [f"HTTP/1.1 {status} {phrase or _REASON_PHRASES.get(status, '')}"]
     lines += [f"{header.name}: {header.value}" for header in headers]
     if length is not None:
         lines.append(f"Content-Length: {length}")
--- a/dunlinnotch/transport/stream/link.py
+++ b/dunlinnotch/transport/stream/link.py
@@ -7,13 +7,13 @@
 from typing import TYPE_CHECKING
 
 from dunlinnotch.protocol.attempt import BodyCutError
-from dunlinnotch.transport.stream.common import WriteGate
+from dunlinnotch.transport.stream.common import FlowControl
 
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
 #: Bytes of a body held before the sender is made to wait.
-BODY_AHEAD = 64 * 1024
+MAX_BUFFERED_BODY_BYTES = 64 * 1024
 
 
 class StreamLink(asyncio.Protocol):
@@ -26,8 +26,8 @@
     """
 
     def __init__(self) -> None:
-        self.gate = WriteGate()
-        self.over = False
+        self.flow_control = FlowControl()
+        self.closed = False
         self._transport: asyncio.Transport | None = None
         self._paused = False
 
@@ -38,26 +38,26 @@
 
     def pause_writing(self) -> None:
         """Make writers wait."""
-        self.gate.pause()
+        self.flow_control.pause()
 
     def resume_writing(self) -> None:
         """Let writers go on."""
-        self.gate.resume()
+        self.flow_control.resume()
 
     def write(self, data: bytes) -> None:
         """Write without waiting."""
-        if self._transport is not None and not self.over:
+        if self._transport is not None and not self.closed:
             self._transport.write(data)
 
     def pause_reading(self) -> None:
         """Stop taking bytes."""
-        if not self._paused and self._transport is not None and not self.over:
+        if not self._paused and self._transport is not None and not self.closed:
             self._paused = True
             self._transport.pause_reading()
 
     def resume_reading(self) -> None:
         """Take bytes again."""
-        if self._paused and self._transport is not None and not self.over:
+        if self._paused and self._transport is not None and not self.closed:
             self._paused = False
             self._transport.resume_reading()
 
@@ -81,28 +81,28 @@
     def __init__(self, link: StreamLink) -> None:
         self._link = link
         self._parts: deque[bytes] = deque()
-        self._held = 0
-        self._news = asyncio.Event()
+        self._buffered_bytes = 0
+        self._changed = asyncio.Event()
         self.done = False
         self.error = ""
 
     def put(self, part: bytes) -> None:
         """Take in a part."""
         self._parts.append(part)
-        self._held += len(part)
-        if self._held > BODY_AHEAD:
+        self._buffered_bytes += len(part)
+        if self._buffered_bytes > MAX_BUFFERED_BODY_BYTES:
             self._link.pause_reading()
-        self._news.set()
+        self._changed.set()
 
     def end(self) -> None:
         """Note the end of the body."""
         self.done = True
-        self._news.set()
+        self._changed.set()
 
     def fail(self, error: str) -> None:
         """Note that the rest of the body can't be had."""
         self.error = self.error or error
-        self._news.set()
+        self._changed.set()
 
     def drop(self) -> None:
         """Let go of the parts that nobody will read."""
@@ -119,13 +119,13 @@
         while True:
             while self._parts:
                 part = self._parts.popleft()
-                self._held -= len(part)
-                if self._held <= BODY_AHEAD:
+                self._buffered_bytes -= len(part)
+                if self._buffered_bytes <= MAX_BUFFERED_BODY_BYTES:
                     self._link.resume_reading()
                 yield part
             if self.error:
                 raise BodyCutError(self.error)
             if self.done:
                 return
-            self._news.clear()
-            await self._news.wait()
+            self._changed.clear()
+            await self._changed.wait()
--- a/dunlinnotch/transport/stream/peers.py
+++ b/dunlinnotch/transport/stream/peers.py
@@ -26,11 +26,11 @@
     #: Given a table, a version and its era, returns the changes since and their age in ms.
     DeltaReader = Callable[[str, int, int], tuple[TableDelta, int]]
 
-_REQUEST_MAX = 4096
-_TABLE_MAX = 32 * 1024 * 1024
-_CHUNK = 64 * 1024
+_MAX_REQUEST_BYTES = 4096
+_MAX_TABLE_BYTES = 32 * 1024 * 1024
+_READ_SIZE_BYTES = 64 * 1024
 #: Time for a peer to ask once it has connected, in seconds.
-_ASK_S = 2.0
+_REQUEST_TIMEOUT_S = 2.0
 
 
 class GossipPort(asyncio.DatagramProtocol):
@@ -110,8 +110,8 @@
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
-            async with asyncio.timeout(_ASK_S):
-                question = await _read_object(reader, _REQUEST_MAX)
+            async with asyncio.timeout(_REQUEST_TIMEOUT_S):
+                question = await _read_object(reader, _MAX_REQUEST_BYTES)
             delta, age_ms = self._read_delta(
                 str(question["t"]), int(question["v"]), int(question["e"])
             )
@@ -139,7 +139,7 @@
         reader, writer = await asyncio.open_connection(host, int(port))
         try:
             writer.write(msgpack.packb({"t": table, "v": version, "e": epoch}))
-            return unpack_delta(await _read_object(reader, _TABLE_MAX))
+            return unpack_delta(await _read_object(reader, _MAX_TABLE_BYTES))
         finally:
             writer.close()
 
@@ -147,7 +147,7 @@
 async def _read_object(reader: asyncio.StreamReader, most: int) -> Any:  # noqa: ANN401
     unpacker = msgpack.Unpacker(max_buffer_size=most)
     while True:
-        data = await reader.read(_CHUNK)
+        data = await reader.read(_READ_SIZE_BYTES)
         if not data:
             msg = "the stream ended inside an object"
             raise ProtocolError(msg)
--- a/dunlinnotch/transport/stream/server.py
+++ b/dunlinnotch/transport/stream/server.py
@@ -22,11 +22,11 @@
 
     Handler = Callable[["Exchange"], Awaitable[None]]
 
-_HEADERS_MAX = 100
+_MAX_HEADERS = 100
 #: Requests that a connection may send ahead of their answers.
-_AHEAD_MAX = 4
+_MAX_PIPELINED_REQUESTS = 4
 #: Time given to the rest of a body that nobody wants, in seconds.
-_DISCARD_S = 1.0
+_DISCARD_TIMEOUT_S = 1.0
 _BACKLOG = 1024
 #: Linger on, for no time: closing resets.
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
@@ -82,7 +82,7 @@
         self.keep_alive = True
         self.error_status: int = 0
         self._body = BodyQueue(link)
-        self._received = 0
+        self._received_bytes = 0
         self._begun = False
         self._finished = False
         self._chunked = False
@@ -95,16 +95,16 @@
 
     def feed(self, part: bytes) -> None:
         """Take in a part of the body."""
-        self._received += len(part)
-        if self._received > self._link.server.limits.max_body_bytes:
-            self.refuse(413)
+        self._received_bytes += len(part)
+        if self._received_bytes > self._link.server.limits.max_body_bytes:
+            self.reject(413)
         self._body.put(part)
 
     def feed_end(self) -> None:
         """Note the end of the body."""
         self._body.end()
 
-    def refuse(self, status: int) -> None:
+    def reject(self, status: int) -> None:
         """Note that the request can't be taken; the first reason counts."""
         self.error_status = self.error_status or status
         self._body.fail(f"the body can't be taken (status {self.error_status})")
@@ -133,7 +133,7 @@
             self._body.drop()
             return not self.error_status
         try:
-            async with asyncio.timeout(_DISCARD_S):
+            async with asyncio.timeout(_DISCARD_TIMEOUT_S):
                 async for _ in self.body():
                     pass
         except (TimeoutError, BodyCutError):
@@ -171,12 +171,12 @@
         ------
         CallerGoneError
         """
-        if self._link.over:
+        if self._link.closed:
             msg = "the caller has closed its connection"
             raise CallerGoneError(msg)
         if part:
             self._link.write(b"%x\r\n%b\r\n" % (len(part), part) if self._chunked else part)
-            await self._link.gate.wait()
+            await self._link.flow_control.wait()
 
     def finish(self) -> None:
         """End the answer cleanly."""
@@ -221,14 +221,14 @@
         super().__init__()
         self.server = server
         self._parser = httptools.HttpRequestParser(self)
-        self._reading: Exchange | None = None
-        self._waiting: deque[Exchange] = deque()
-        self._news = asyncio.Event()
+        self._receiving: Exchange | None = None
+        self._pending: deque[Exchange] = deque()
+        self._changed = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
-        self._head_size = 0
-        self._head_started: Seconds | None = None
-        self._broken = False
-        self._begun = Exchange(self, 0.0)
+        self._head_bytes = 0
+        self._head_started_at: Seconds | None = None
+        self._input_failed = False
+        self._parsing = Exchange(self, 0.0)
 
     # -- from the transport
 
@@ -240,9 +240,9 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Cancel what runs for a caller that has gone."""
-        self.over = True
+        self.closed = True
         self.server.links.discard(self)
-        self.gate.resume()
+        self.flow_control.resume()
         if self._task is not None:
             self._task.cancel()
 
@@ -252,58 +252,58 @@
 
     def data_received(self, data: bytes) -> None:
         """Parse what came."""
-        if self._broken:
+        if self._input_failed:
             return
-        if self._reading is None:
-            self._head_size += len(data)
+        if self._receiving is None:
+            self._head_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserUpgrade, httptools.HttpParserError):
-            self._break(400)
-        if self._reading is None and self._head_size > self.server.limits.max_head_bytes:
-            self._break(431)
-        if len(self._waiting) > _AHEAD_MAX:
+            self._fail_input(400)
+        if self._receiving is None and self._head_bytes > self.server.limits.max_head_bytes:
+            self._fail_input(431)
+        if len(self._pending) > _MAX_PIPELINED_REQUESTS:
             self.pause_reading()
 
-    def _break(self, status: int) -> None:
+    def _fail_input(self, status: int) -> None:
         """Note that the byte stream can't be read any further."""
-        self._broken = True
-        exchange = self._reading
+        self._input_failed = True
+        exchange = self._receiving
         if exchange is None:
             exchange = Exchange(self, self.server.loop.time())
-            self._waiting.append(exchange)
-        exchange.refuse(status)
+            self._pending.append(exchange)
+        exchange.reject(status)
         exchange.keep_alive = False
         exchange.feed_end()
-        self._reading = None
-        self._news.set()
+        self._receiving = None
+        self._changed.set()
 
     # -- from the parser
 
     def on_message_begin(self) -> None:
         """Begin a request."""
-        self._begun = Exchange(self, 0.0)
-        self._head_started = self.server.loop.time()
+        self._parsing = Exchange(self, 0.0)
+        self._head_started_at = self.server.loop.time()
         # The connection's task waits for an idle time that no longer counts.
-        self._news.set()
+        self._changed.set()
 
     def on_url(self, url: bytes) -> None:
         """Take a part of the request's target."""
-        self._begun.path += url.decode("latin-1")
+        self._parsing.path += url.decode("latin-1")
 
     def on_header(self, name: bytes, value: bytes) -> None:
         """Take one header."""
         header = Header(name.decode("latin-1"), value.decode("latin-1"))
-        if len(self._begun.headers) >= _HEADERS_MAX:
-            self._begun.refuse(431)
+        if len(self._parsing.headers) >= _MAX_HEADERS:
+            self._parsing.reject(431)
             return
-        if header.name.lower() == "host" and self._begun.header("host") is not None:
-            self._begun.refuse(400)
-        self._begun.headers.append(header)
+        if header.name.lower() == "host" and self._parsing.header("host") is not None:
+            self._parsing.reject(400)
+        self._parsing.headers.append(header)
 
     def on_headers_complete(self) -> None:
         """Hand the request to the connection's task."""
-        exchange = self._begun
+        exchange = self._parsing
         exchange.method = self._parser.get_method().decode("latin-1")
         exchange.keep_alive = bool(self._parser.should_keep_alive())
         exchange.arrived = self.server.loop.time()
@@ -311,34 +311,34 @@
         if coding is not None:
             exchange.length = None
             if coding.strip().lower() != "chunked":
-                exchange.refuse(400)
+                exchange.reject(400)
         else:
             exchange.length = int(exchange.header("content-length") or 0)
         if (exchange.length or 0) > self.server.limits.max_body_bytes:
-            exchange.refuse(413)
-        self._reading = exchange
-        self._head_size = 0
-        self._head_started = None
-        self._waiting.append(exchange)
-        self._news.set()
+            exchange.reject(413)
+        self._receiving = exchange
+        self._head_bytes = 0
+        self._head_started_at = None
+        self._pending.append(exchange)
+        self._changed.set()
 
     def on_body(self, body: bytes) -> None:
         """Hand a part of the body on."""
-        if self._reading is not None:
-            self._reading.feed(body)
+        if self._receiving is not None:
+            self._receiving.feed(body)
 
     def on_message_complete(self) -> None:
         """End the request."""
-        if self._reading is not None:
-            self._reading.feed_end()
-        self._reading = None
+        if self._receiving is not None:
+            self._receiving.feed_end()
+        self._receiving = None
 
     # -- for exchanges
 
     @property
     def closing(self) -> bool:
         """Whether the connection is to be closed after the answer under way."""
-        return self.server.closing or self._broken
+        return self.server.closing or self._input_failed
 
     @property
     def remote_ip(self) -> str:
@@ -348,7 +348,7 @@
 
     def abort(self) -> None:
         """Reset the connection rather than end it."""
-        if self._transport is None or self.over:
+        if self._transport is None or self.closed:
             return
         sock = self._transport.get_extra_info("socket")
         if sock is not None:
@@ -364,14 +364,14 @@
 
     async def _serve(self) -> None:
         try:
-            while await self._next():
-                exchange = self._waiting.popleft()
+            while await self._wait_for_request():
+                exchange = self._pending.popleft()
                 self.resume_reading()
                 await self._answer(exchange)
                 if not exchange.keep_alive or self.closing or not exchange.finished:
                     break
         except asyncio.CancelledError:
-            if not self.over:
+            if not self.closed:
                 raise
         finally:
             self.close()
@@ -385,34 +385,34 @@
         if not await exchange.discard_body():
             exchange.close_after_answer()
 
-    async def _next(self) -> bool:
+    async def _wait_for_request(self) -> bool:
         """Wait for a request; return False if the connection is to be closed."""
         limits = self.server.limits
         rested = self.server.loop.time()
-        while not self._waiting:
-            if self.server.closing or self._broken:
+        while not self._pending:
+            if self.server.closing or self._input_failed:
                 return False
             now = self.server.loop.time()
-            if self._head_started is not None:
-                until = self._head_started + limits.head_timeout_s
+            if self._head_started_at is not None:
+                until = self._head_started_at + limits.head_timeout_s
             else:
                 until = rested + limits.idle_timeout_s
             if now >= until:
-                if self._head_started is not None:
-                    self._break(408)
+                if self._head_started_at is not None:
+                    self._fail_input(408)
                     continue
                 return False
-            self._news.clear()
+            self._changed.clear()
             try:
                 async with asyncio.timeout(until - now):
-                    await self._news.wait()
+                    await self._changed.wait()
             except TimeoutError:
                 continue
         return True
 
-    def wake(self) -> None:
+    def notify_closing(self) -> None:
         """Have an idle connection see that the server closes."""
-        self._news.set()
+        self._changed.set()
 
 
 class StreamServer:
@@ -453,7 +453,7 @@
         """Close idle connections, and each other one after its answer."""
         self.closing = True
         for link in list(self.links):
-            link.wake()
+            link.notify_closing()
 
     async def close(self) -> None:
         """Close everything now."""
