--- a/dunlinnotch/transport/stream/server.py
+++ b/dunlinnotch/transport/stream/server.py
@@ -1,4 +1,8 @@
-"""Serve HTTP/1.1: one task for each connection, written straight down."""
+"""HTTP/1.1 server on the event loop, with one task for each connection.
+
+The parser puts requests into a queue of their connection; the task of the connection takes
+them from it one after the other and runs the handler.
+"""
 
 from __future__ import annotations
 
@@ -23,23 +27,30 @@
     Handler = Callable[["Exchange"], Awaitable[None]]
 
 _MAX_HEADERS = 100
-#: Requests that a connection may send ahead of their answers.
+#: Maximum number of requests of one connection that wait for their turn; beyond it, the
+#: connection is not read.
 _MAX_PIPELINED_REQUESTS = 4
-#: Time given to the rest of a body that nobody wants, in seconds.
+#: Time to wait for the remaining body of a request that has been answered, in seconds.  The
+#: connection can be used again only after its end.
 _DISCARD_TIMEOUT_S = 1.0
 _BACKLOG = 1024
-#: Linger on, for no time: closing resets.
+#: Value of ``SO_LINGER`` (on, 0 s) with which closing a socket resets the connection.
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 class ServerLimits:
-    """What callers may send, and for how long they may be silent.
+    """Limits on the size and the duration of requests.
+
+    The limits may be changed while the server runs.
 
     Parameters
     ----------
     max_head_bytes, max_body_bytes : int
-    head_timeout_s, idle_timeout_s : float
-        Seconds for a whole head, and between two requests.
+        Maximum size of the head and of the body of a request, in bytes.
+    head_timeout_s : float
+        Seconds within which the head of a request must be complete once it has begun.
+    idle_timeout_s : float
+        Seconds for which a connection may wait for its next request.
     """
 
     __slots__ = ("max_body_bytes", "max_head_bytes", "head_timeout_s", "idle_timeout_s")
@@ -59,17 +70,27 @@
 
 
 class Exchange:
-    """One request of a connection and its answer.
+    """One request received on a connection, and the answer to it.
+
+    Parameters
+    ----------
+    link : ServerLink
+        The connection.
+    arrived : float
+        Time at which the head was complete, in monotonic seconds.
 
     Attributes
     ----------
     method, path : str
-        As received.
+        As received; ``path`` includes the query.
     headers : list of Header
+        In the order received.
     length : int or None
-        Bytes in the body; ``None`` if it comes in chunks.
-    arrived : float
-        Monotonic seconds at the end of the head.
+        Length of the body in bytes; ``None`` if the body is chunked.
+    keep_alive : bool
+        Whether the connection stays open after the answer.
+    error_status : int
+        HTTP status with which the request is rejected; 0 if it is not.
     """
 
     def __init__(self, link: ServerLink, arrived: Seconds) -> None:
@@ -88,39 +109,39 @@
         self._chunked = False
 
     def header(self, name: str) -> str | None:
-        """Return a header's first value; ``name`` in lower case."""
+        """Return the first value of a header, or None; ``name`` is in lower case."""
         return find_header(self.headers, name)
 
-    # -- body of the request
+    # Body of the request
 
     def feed(self, part: bytes) -> None:
-        """Take in a part of the body."""
+        """Add a received part of the body; reject the request if the body is too long."""
         self._received_bytes += len(part)
         if self._received_bytes > self._link.server.limits.max_body_bytes:
             self.reject(413)
         self._body.put(part)
 
     def feed_end(self) -> None:
-        """Note the end of the body."""
+        """Mark the body as complete."""
         self._body.end()
 
     def reject(self, status: int) -> None:
-        """Note that the request can't be taken; the first reason counts."""
+        """Reject the request with a status; of several, the first is sent."""
         self.error_status = self.error_status or status
-        self._body.fail(f"the body can't be taken (status {self.error_status})")
+        self._body.fail(f"request rejected with status {self.error_status}")
 
     @property
     def body_done(self) -> bool:
-        """Whether the whole request has been received."""
+        """Whether the complete body has been received."""
         return self._body.done
 
     async def body(self) -> AsyncIterator[bytes]:
-        """Yield the request's body.
+        """Yield the parts of the body; send ``100 Continue`` first if the caller expects it.
 
         Raises
         ------
         BodyCutError
-            If it is longer than allowed or breaks its framing.
+            If the body is longer than allowed or its framing is invalid.
         """
         if not self.body_done and (self.header("expect") or "").lower() == "100-continue":
             self._link.write(b"HTTP/1.1 100 Continue\r\n\r\n")
@@ -128,7 +149,7 @@
             yield part
 
     async def discard_body(self) -> bool:
-        """Read what is left of the body; return whether its end came in time."""
+        """Read and drop the rest of the body; return whether its end came in time."""
         if self.body_done:
             self._body.drop()
             return not self.error_status
@@ -140,36 +161,48 @@
             return False
         return True
 
-    # -- the answer
+    # Answer
 
     @property
     def begun(self) -> bool:
-        """Whether the answer's head has gone out."""
+        """Whether the head of the answer has been sent."""
         return self._begun
 
     @property
     def finished(self) -> bool:
-        """Whether the whole answer has gone out."""
+        """Whether the complete answer has been sent."""
         return self._finished
 
     def begin(
         self, status: int, headers: Sequence[Header], *, length: int | None, phrase: str = ""
     ) -> None:
-        """Send the answer's head."""
+        """Send the head of the answer.
+
+        Parameters
+        ----------
+        status : int
+        headers : sequence of Header
+            Without those of framing and of the connection, which are added.
+        length : int or None
+            Length of the body in bytes; ``None`` to send the body in chunks.
+        phrase : str, optional
+            Reason phrase; by default the usual one of the status.
+        """
         bodiless = self.method == "HEAD" or status in (204, 304)
         self._chunked = length is None and not bodiless
         self._begun = True
         self.keep_alive = self.keep_alive and not self._link.server.keep_alive_disabled
         close = self._link.closing or not self.keep_alive
-        shown = None if status in (204, 304) else length
-        self._link.write(answer_head(status, phrase, headers, length=shown, close=close))
+        declared_length = None if status in (204, 304) else length
+        self._link.write(answer_head(status, phrase, headers, length=declared_length, close=close))
 
     async def send(self, part: bytes) -> None:
-        """Send a part of the answer's body.
+        """Send a part of the body; wait while the caller does not read.
 
         Raises
         ------
         CallerGoneError
+            If the caller has closed the connection.
         """
         if self._link.closed:
             msg = "the caller has closed its connection"
@@ -179,13 +212,13 @@
             await self._link.flow_control.wait()
 
     def finish(self) -> None:
-        """End the answer cleanly."""
+        """End the body of the answer."""
         if self._chunked:
             self._link.write(b"0\r\n\r\n")
         self._finished = True
 
     def reply(self, status: int, headers: Sequence[Header], body: bytes, phrase: str = "") -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         self.begin(status, headers, length=len(body), phrase=phrase)
         if body and self.method != "HEAD":
             self._link.write(body)
@@ -193,29 +226,34 @@
 
     @property
     def remote_ip(self) -> str:
-        """The caller's IP number."""
+        """IP address of the caller; empty if it is unknown."""
         return self._link.remote_ip
 
     def write_raw(self, data: bytes) -> None:
-        """Send bytes as they are; for stand-ins that answer badly."""
+        """Send bytes without framing, for stand-ins that send invalid answers."""
         self._begun = True
         self._link.write(data)
 
     def mark_finished(self) -> None:
-        """Count what was sent raw as a whole answer."""
+        """Mark the answer as complete, after :meth:`write_raw`."""
         self._finished = True
 
     def abort(self) -> None:
-        """Reset the connection."""
+        """Reset the connection at once."""
         self._link.abort()
 
     def close_after_answer(self) -> None:
-        """Have the connection closed once this answer is out."""
+        """Close the connection after this answer."""
         self.keep_alive = False
 
 
 class ServerLink(StreamLink):
-    """One caller's connection."""
+    """One connection of a caller.
+
+    Parameters
+    ----------
+    server : StreamServer
+    """
 
     def __init__(self, server: StreamServer) -> None:
         super().__init__()
@@ -230,16 +268,16 @@
         self._input_failed = False
         self._parsing = Exchange(self, 0.0)
 
-    # -- from the transport
+    # Called by the transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start the connection's task."""
+        """Start the task that serves the connection."""
         super().connection_made(transport)
         self.server.links.add(self)
         self._task = self.server.loop.create_task(self._serve())
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Cancel what runs for a caller that has gone."""
+        """Cancel the handler, because the caller has gone."""
         self.closed = True
         self.server.links.discard(self)
         self.flow_control.resume()
@@ -247,11 +285,11 @@
             self._task.cancel()
 
     def eof_received(self) -> bool:
-        """Close: a caller that ends its side has left."""
+        """Close the connection: a caller that closes its side is taken to have gone."""
         return False
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came."""
+        """Parse received bytes."""
         if self._input_failed:
             return
         if self._receiving is None:
@@ -266,7 +304,7 @@
             self.pause_reading()
 
     def _fail_input(self, status: int) -> None:
-        """Note that the byte stream can't be read any further."""
+        """Stop parsing, reject the current request and close the connection after that."""
         self._input_failed = True
         exchange = self._receiving
         if exchange is None:
@@ -278,21 +316,21 @@
         self._receiving = None
         self._changed.set()
 
-    # -- from the parser
+    # Called by the parser
 
     def on_message_begin(self) -> None:
-        """Begin a request."""
+        """Start to parse a request."""
         self._parsing = Exchange(self, 0.0)
         self._head_started_at = self.server.loop.time()
-        # The connection's task waits for an idle time that no longer counts.
+        # The task must switch from the idle timeout to that of the head.
         self._changed.set()
 
     def on_url(self, url: bytes) -> None:
-        """Take a part of the request's target."""
+        """Add a part of the path."""
         self._parsing.path += url.decode("latin-1")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take one header."""
+        """Add a header; reject more than one ``Host`` or too many headers."""
         header = Header(name.decode("latin-1"), value.decode("latin-1"))
         if len(self._parsing.headers) >= _MAX_HEADERS:
             self._parsing.reject(431)
@@ -302,7 +340,7 @@
         self._parsing.headers.append(header)
 
     def on_headers_complete(self) -> None:
-        """Hand the request to the connection's task."""
+        """Check the head and queue the request for the task of the connection."""
         exchange = self._parsing
         exchange.method = self._parser.get_method().decode("latin-1")
         exchange.keep_alive = bool(self._parser.should_keep_alive())
@@ -323,31 +361,31 @@
         self._changed.set()
 
     def on_body(self, body: bytes) -> None:
-        """Hand a part of the body on."""
+        """Add a part of the body to its request."""
         if self._receiving is not None:
             self._receiving.feed(body)
 
     def on_message_complete(self) -> None:
-        """End the request."""
+        """Mark the request as completely received."""
         if self._receiving is not None:
             self._receiving.feed_end()
         self._receiving = None
 
-    # -- for exchanges
+    # Called by exchanges and the server
 
     @property
     def closing(self) -> bool:
-        """Whether the connection is to be closed after the answer under way."""
+        """Whether the connection will be closed after the current answer."""
         return self.server.closing or self._input_failed
 
     @property
     def remote_ip(self) -> str:
-        """The caller's IP number."""
+        """IP address of the caller; empty if it is unknown."""
         peer = None if self._transport is None else self._transport.get_extra_info("peername")
         return "" if peer is None else str(peer[0])
 
     def abort(self) -> None:
-        """Reset the connection rather than end it."""
+        """Reset the connection instead of closing it cleanly."""
         if self._transport is None or self.closed:
             return
         sock = self._transport.get_extra_info("socket")
@@ -356,11 +394,11 @@
         self._transport.abort()
 
     def close(self) -> None:
-        """Close once what was written is out."""
+        """Close the connection after the written bytes have been sent."""
         if self._transport is not None:
             self._transport.close()
 
-    # -- the connection's task
+    # Task of the connection
 
     async def _serve(self) -> None:
         try:
@@ -386,43 +424,52 @@
             exchange.close_after_answer()
 
     async def _wait_for_request(self) -> bool:
-        """Wait for a request; return False if the connection is to be closed."""
+        """Wait for the next request; return False if the connection should be closed."""
         limits = self.server.limits
-        rested = self.server.loop.time()
+        idle_since = self.server.loop.time()
         while not self._pending:
             if self.server.closing or self._input_failed:
                 return False
             now = self.server.loop.time()
             if self._head_started_at is not None:
-                until = self._head_started_at + limits.head_timeout_s
+                deadline = self._head_started_at + limits.head_timeout_s
             else:
-                until = rested + limits.idle_timeout_s
-            if now >= until:
+                deadline = idle_since + limits.idle_timeout_s
+            if now >= deadline:
                 if self._head_started_at is not None:
                     self._fail_input(408)
                     continue
                 return False
             self._changed.clear()
             try:
-                async with asyncio.timeout(until - now):
+                async with asyncio.timeout(deadline - now):
                     await self._changed.wait()
             except TimeoutError:
                 continue
         return True
 
     def notify_closing(self) -> None:
-        """Have an idle connection see that the server closes."""
+        """Wake the task, so that an idle connection is closed when the server closes."""
         self._changed.set()
 
 
 class StreamServer:
-    """Listen on one address and answer by one handler.
+    """HTTP server that listens on one address.
 
     Parameters
     ----------
     handler : callable
-        Serves one :class:`Exchange`; it is cancelled when the caller goes.
+        Serves one :class:`Exchange`; it is cancelled when the caller closes the connection.
     limits : ServerLimits, optional
+
+    Attributes
+    ----------
+    links : set of ServerLink
+        Open connections.
+    closing : bool
+        Whether idle connections are closed, and the others after their current answer.
+    keep_alive_disabled : bool
+        Whether answers that begin from now on announce that the connection closes.
     """
 
     def __init__(self, handler: Handler, *, limits: ServerLimits | None = None) -> None:
@@ -431,12 +478,22 @@
         self.loop = asyncio.get_running_loop()
         self.links: set[ServerLink] = set()
         self.closing = False
-        #: Whether each connection is closed after the answer it gets next.
         self.keep_alive_disabled = False
         self._server: asyncio.Server | None = None
 
     async def listen(self, address: Address) -> Address:
-        """Begin to listen; return the address, its port filled in by the kernel if 0."""
+        """Start to listen.
+
+        Parameters
+        ----------
+        address : str
+            Host and port; the system chooses a free port if it is 0.
+
+        Returns
+        -------
+        str
+            The address with the port in use.
+        """
         host, _, port = address.rpartition(":")
         self._server = await self.loop.create_server(
             lambda: ServerLink(self), host, int(port), backlog=_BACKLOG, reuse_address=True
@@ -444,19 +501,19 @@
         return f"{host}:{self._server.sockets[0].getsockname()[1]}"
 
     def stop_listening(self) -> None:
-        """Take no new connections; those that there are go on."""
+        """Accept no new connections; open ones are still served."""
         if self._server is not None:
             self._server.close()
             self._server = None
 
     def close_idle(self) -> None:
-        """Close idle connections, and each other one after its answer."""
+        """Close idle connections now, and the others after their current answer."""
         self.closing = True
         for link in list(self.links):
             link.notify_closing()
 
     async def close(self) -> None:
-        """Close everything now."""
+        """Stop listening and close all connections, also those with a request in progress."""
         self.stop_listening()
         self.close_idle()
         for link in list(self.links):
--- a/tests/test_stream_server.py
+++ b/tests/test_stream_server.py
@@ -1,4 +1,4 @@
-"""The server on the event loop: strict heads, limits, early closes, planned ends."""
+"""HTTP server on the event loop: strict parsing, limits, callers that leave, shutdown."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from tests.stream_world import read_answer, until
 
 
-class Served:
-    """A server that notes what its handler was given."""
+class RecordingServer:
+    """A server that records what its handler received."""
 
     def __init__(self, **limits):
         self.requests = []
@@ -22,12 +22,12 @@
         self.limits = ServerLimits(**limits)
 
     async def __aenter__(self):
-        self.server = StreamServer(self._serve, limits=self.limits)
-        self.address = await self.server.listen("127.0.0.1:0")
+        self.http = StreamServer(self._serve, limits=self.limits)
+        self.address = await self.http.listen("127.0.0.1:0")
         return self
 
     async def __aexit__(self, *_):
-        await self.server.close()
+        await self.http.close()
 
     async def _serve(self, exchange):
         self.requests.append((exchange.method, exchange.path))
@@ -48,7 +48,7 @@
 
 
 def run(test):
-    """Run an asynchronous test with a bound on its whole time."""
+    """Run an asynchronous test with a time limit."""
 
     async def bounded():
         async with asyncio.timeout(20):
@@ -75,15 +75,17 @@
 
 
 @pytest.mark.parametrize("name", BAD_HEADS)
-def test_a_head_that_two_parsers_may_read_differently_reaches_nobody(name):
+def test_ambiguous_head_is_rejected(name):
+    """Guards against request smuggling: heads that two parsers may read differently."""
+
     async def test():
-        async with Served() as served:
-            reader, writer = await served.connect()
+        async with RecordingServer() as server:
+            reader, writer = await server.connect()
             writer.write(BAD_HEADS[name])
             answer = await read_answer(reader)
             assert (answer.status, answer.headers["connection"]) == (400, "close")
             assert await reader.read() == b""
-            assert served.requests == []
+            assert server.requests == []
             writer.close()
 
     run(test)
@@ -92,29 +94,31 @@
 @pytest.mark.parametrize(
     "chunk", [b"+5\r\nhello\r\n", b"-1\r\n", b"0x5\r\nhello\r\n", b"5\r\nhelloX\r\n"]
 )
-def test_a_chunk_that_breaks_its_framing_cuts_the_body(chunk):
+def test_invalid_chunk_is_rejected(chunk):
+    """Guards against a handler that takes a body with invalid framing for complete."""
+
     async def test():
-        async with Served() as served:
-            reader, writer = await served.connect()
+        async with RecordingServer() as server:
+            reader, writer = await server.connect()
             writer.write(
                 b"POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk
             )
             assert (await read_answer(reader)).status == 400
             assert await reader.read() == b""
-            assert served.bodies == []
+            assert server.bodies == []
             writer.close()
 
     run(test)
 
 
-def test_requests_of_one_connection_are_answered_in_turn():
+def test_pipelined_requests_are_answered_in_order():
     async def test():
-        async with Served() as served:
-            reader, writer = await served.connect()
+        async with RecordingServer() as server:
+            reader, writer = await server.connect()
             for number in range(3):
                 writer.write(b"POST /%d HTTP/1.1\r\nHost: a\r\nContent-Length: 1\r\n\r\nx" % number)
             assert [(await read_answer(reader)).status for _ in range(3)] == [200] * 3
-            assert [path for _, path in served.requests] == ["/0", "/1", "/2"]
+            assert [path for _, path in server.requests] == ["/0", "/1", "/2"]
             writer.close()
 
     run(test)
@@ -133,10 +137,10 @@
         ({"head_timeout_s": 0.05}, b"GET / HTTP/1.1\r\nHo", 408),
     ],
 )
-def test_limits_are_kept(limits, sent, status):
+def test_request_beyond_a_limit_is_rejected(limits, sent, status):
     async def test():
-        async with Served(**limits) as served:
-            reader, writer = await served.connect()
+        async with RecordingServer(**limits) as server:
+            reader, writer = await server.connect()
             writer.write(sent)
             assert (await read_answer(reader)).status == status
             assert await reader.read() == b""
@@ -145,61 +149,63 @@
     run(test)
 
 
-def test_an_idle_connection_is_closed_without_a_word():
+def test_idle_connection_is_closed_without_an_answer():
     async def test():
-        async with Served(idle_timeout_s=0.05) as served:
-            reader, writer = await served.connect()
+        async with RecordingServer(idle_timeout_s=0.05) as server:
+            reader, writer = await server.connect()
             assert await reader.read() == b""
             writer.close()
 
     run(test)
 
 
-def test_a_caller_that_leaves_cancels_its_handler():
+def test_handler_is_cancelled_when_the_caller_closes_the_connection():
     async def test():
-        async with Served() as served:
-            served.hold = asyncio.Event()
-            _, writer = await served.connect()
+        async with RecordingServer() as server:
+            server.hold = asyncio.Event()
+            _, writer = await server.connect()
             writer.write(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
-            await until(lambda: served.requests)
+            await until(lambda: server.requests)
             writer.close()
-            await until(lambda: served.cancelled == 1)
+            await until(lambda: server.cancelled == 1)
 
     run(test)
 
 
-def test_a_long_body_is_not_taken_in_faster_than_it_is_read():
+def test_long_body_is_not_received_faster_than_it_is_read():
+    """Guards against unbounded memory for a body that the handler does not read."""
+
     async def test():
-        async with Served() as served:
-            served.hold = asyncio.Event()
-            reader, writer = await served.connect()
+        async with RecordingServer() as server:
+            server.hold = asyncio.Event()
+            reader, writer = await server.connect()
             size = 32 * 1024 * 1024
             writer.write(b"POST / HTTP/1.1\r\nHost: a\r\nContent-Length: %d\r\n\r\n" % size)
             writer.write(b"x" * size)
-            await until(lambda: served.requests)
+            await until(lambda: server.requests)
             await asyncio.sleep(0.05)
-            # Most of it still waits at the sender: the server has stopped reading.
+            # Most of the body is still buffered by the sender, as the server has stopped reading.
             assert writer.transport.get_write_buffer_size() > size // 2
-            served.hold.set()
+            server.hold.set()
             assert (await read_answer(reader)).status == 200
-            assert len(served.bodies[0]) == size
+            assert len(server.bodies[0]) == size
             writer.close()
 
     run(test)
 
 
-def test_closing_ends_idle_connections_and_lets_answers_go_out():
+def test_closing_server_closes_idle_connections_and_finishes_answers():
     async def test():
-        async with Served() as served:
-            served.hold = asyncio.Event()
-            idle_reader, idle_writer = await served.connect()
-            reader, writer = await served.connect()
+        async with RecordingServer() as server:
+            server.hold = asyncio.Event()
+            idle_reader, idle_writer = await server.connect()
+            reader, writer = await server.connect()
             writer.write(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n")
-            await until(lambda: served.requests)
-            served.server.stop_listening()
-            served.server.close_idle()
+            await until(lambda: server.requests)
+            server.http.stop_listening()
+            server.http.close_idle()
             assert await idle_reader.read() == b""
-            served.hold.set()
+            server.hold.set()
             answer = await read_answer(reader)
             assert (answer.status, answer.headers["connection"]) == (200, "close")
             assert await reader.read() == b""
@@ -209,17 +215,17 @@
     run(test)
 
 
-def test_a_caller_that_asks_first_is_told_to_go_on():
+def test_expect_100_continue_is_answered():
     async def test():
-        async with Served() as served:
-            reader, writer = await served.connect()
+        async with RecordingServer() as server:
+            reader, writer = await server.connect()
             writer.write(
                 b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 2\r\nExpect: 100-continue\r\n\r\n"
             )
             assert await reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
             writer.write(b"ab")
             assert (await read_answer(reader)).status == 200
-            assert served.bodies == [b"ab"]
+            assert server.bodies == [b"ab"]
             writer.close()
 
     run(test)
