--- a/dunlinnotch/transport/stream/client.py
+++ b/dunlinnotch/transport/stream/client.py
@@ -1,4 +1,8 @@
-"""Send requests to targets and probe them; answers are told apart by id."""
+"""HTTP/1.1 client for targets: sends requests and probes.
+
+An answer is matched to its request by the request id that it names, because a connection may
+still deliver the answer to an earlier request.
+"""
 
 from __future__ import annotations
 
@@ -33,16 +37,28 @@
     from dunlinnotch.state.target_status import TargetStatus
     from dunlinnotch.types import Address, Seconds
 
-#: For what may run only once, a connection is used if it has rested for at most this long.
+#: Maximum idle time of a connection reused for a request that must not run twice.  The target
+#: may close an idle connection just as the request is sent, which leaves open whether it ran.
 _MAX_IDLE_AT_MOST_ONCE_S = 1.0
 
 
 class _CallerBodyError(Exception):
-    """The caller's body broke off while it was being sent on."""
+    """The body of the caller ended early while it was being sent to a target."""
 
 
 class LinkAnswer:
-    """An answer under way on a connection."""
+    """An answer whose body is still being received.
+
+    Parameters
+    ----------
+    pool : LinkPool
+        Gets the connection back when the answer is closed.
+    incoming : IncomingAnswer
+    sender : asyncio.Task or None
+        Task that still sends the body of the request, if there is one.
+    head : AnswerHead
+        As passed on to the caller.
+    """
 
     def __init__(
         self,
@@ -58,24 +74,35 @@
         self.head = head
 
     async def read_complete(self, max_bytes: int) -> bytes | None:
-        """Read the body if it is at most so long; ``None`` if it is longer.
+        """Read the complete body, unless it is too long.
+
+        Parameters
+        ----------
+        max_bytes : int
+
+        Returns
+        -------
+        bytes or None
+            ``None`` if the body is longer than ``max_bytes``; :meth:`parts` then still yields
+            all of it.
 
         Raises
         ------
         BodyCutError
+            If the body ends early.
         """
         if self.head.length is not None and self.head.length > max_bytes:
             return None
-        held = bytearray()
+        data = bytearray()
         async for part in self._incoming.parts():
-            held += part
-            if len(held) > max_bytes:
-                self._read_ahead = bytes(held)
+            data += part
+            if len(data) > max_bytes:
+                self._read_ahead = bytes(data)
                 return None
-        return bytes(held)
+        return bytes(data)
 
     async def parts(self) -> AsyncIterator[bytes]:
-        """Yield the body."""
+        """Yield the body, including what :meth:`read_complete` has read of one too long."""
         if self._read_ahead:
             yield self._read_ahead
             self._read_ahead = b""
@@ -83,23 +110,29 @@
             yield part
 
     def close(self) -> None:
-        """Give the connection back if all was read and sent, else close it."""
+        """Release the connection if request and answer are complete, else close it."""
         link = self._incoming.link
-        sent = self._sender is None or (self._sender.done() and not self._sender.cancelled())
+        body_sent = self._sender is None or (self._sender.done() and not self._sender.cancelled())
         if self._sender is not None:
             self._sender.cancel()
-        if self._incoming.done and sent:
+        if self._incoming.done and body_sent:
             self._pool.release_link(link)
         else:
             self._pool.discard(link)
 
 
 class TargetClient:
-    """Probe targets and send them requests.
+    """Send requests and probes to targets.
 
     Parameters
     ----------
     dialect : TargetDialect
+        Headers and statuses that targets use.
+
+    Attributes
+    ----------
+    opened_in_closed_pools : int
+        Connections opened to targets that have been removed.
     """
 
     def __init__(self, dialect: TargetDialect) -> None:
@@ -109,20 +142,20 @@
         self.opened_in_closed_pools = 0
 
     def set_max_connections(self, max_links: int) -> None:
-        """Set how many connections to one target may be open at once."""
+        """Set the maximum number of open connections to one target."""
         self._max_links = max_links
         for pool in self._pools.values():
             pool.max_links = max_links
 
     def pool(self, address: Address) -> LinkPool:
-        """Return the connections of one target."""
+        """Return the connection pool of one target."""
         pool = self._pools.get(address)
         if pool is None:
             pool = self._pools[address] = LinkPool(address, max_links=self._max_links)
         return pool
 
     def close_others(self, addresses: set[Address]) -> None:
-        """Close idle connections to targets that are no more."""
+        """Close idle connections to all targets but those listed."""
         for address in [a for a in self._pools if a not in addresses]:
             pool = self._pools.pop(address)
             self.opened_in_closed_pools += pool.opened
@@ -130,32 +163,37 @@
 
     @property
     def opened(self) -> int:
-        """Connections opened so far."""
+        """Number of connections opened so far."""
         return self.opened_in_closed_pools + sum(pool.opened for pool in self._pools.values())
 
     def release(self, address: Address, probe_result: ProbeResult) -> None:
-        """Give back the connection of a probe that is not used."""
+        """Release the connection of a probe that no request will use."""
         link, probe_result.link = probe_result.link, None
         if isinstance(link, TargetLink):
             self.pool(address).release_link(link)
 
     async def is_gone(self, address: Address) -> bool:
-        """Return whether nobody listens at a target's address any more."""
+        """Return whether no process listens at the address of a target any more."""
         return await self.pool(address).refuses_connections()
 
     async def probe(self, address: Address, path: str) -> ProbeResult:
-        """Probe a target; the connection stays taken until it is used or released.
+        """Probe a target.
 
         Parameters
         ----------
         address : str
         path : str
+
+        Returns
+        -------
+        ProbeResult
+            Holds the connection, until a request uses it or :meth:`release` is called.
         """
         pool = self.pool(address)
         link = await pool.acquire_link()
         if isinstance(link, NotSent):
             return ProbeResult(None, healthy=False, detail=link.detail)
-        done = False
+        completed = False
         try:
             head = request_head("GET", path, self._dialect.probe_headers(pool.address), length=0)
             link.head_only = False
@@ -168,7 +206,7 @@
                     break
             status = self._dialect.status(incoming.head)
             probe_result = ProbeResult(instance, incoming.status == 200, status)
-            done = True
+            completed = True
             if instance is None or link.not_reusable or link.closed:
                 pool.release_link(link)
             else:
@@ -177,7 +215,7 @@
         except (LinkBrokenError, BodyCutError) as error:
             return ProbeResult(None, healthy=False, detail=str(error))
         finally:
-            if not done:
+            if not completed:
                 pool.discard(link)
 
     async def attempt(
@@ -193,7 +231,7 @@
         probe_result: ProbeResult | None = None,
         at_most_once: bool = False,
     ) -> AttemptEnd:
-        """Send one request to one target and wait for the head of its answer.
+        """Send a request to a target and wait for the head of the answer.
 
         Parameters
         ----------
@@ -201,24 +239,28 @@
         request : CallerRequest
         body : RelayBody
         remaining : float
-            Seconds that the target is given.
+            Seconds within which the target should answer; sent with the request.
         instance : str
-            The target that is meant; another one at the address refuses.
+            Name of the target; another target that has the address now refuses the request.
         may_send : callable
-            Returns whether the request may go to the target now; asked once there is
-            a connection, which may have taken its time.
+            Returns whether the request may still be sent to the target.  Called once there is
+            a connection, because the target may have been ruled out while connecting.
         on_status : callable
-            Told what the target says of itself, as soon as the head of an answer has
-            come and whatever becomes of that answer.
+            Called with the status that the target reports in the head of its answer, also if
+            the answer is then not passed on.
         probe_result : ProbeResult, optional
-            A probe whose connection is used.
+            Result of a probe whose connection is reused.
         at_most_once : bool, default False
-            Whether the request may run only once, so that a connection which
-            its target may have forgotten is no choice.
+            Whether the request must not run twice.  It is then not sent on a connection that
+            has been idle for long, which the target may be closing.
+
+        Returns
+        -------
+        AttemptEnd
 
         Notes
         -----
-        When cancelled, the connection is closed, so that the target stops.
+        If this is cancelled, the connection is closed, so that the target stops its work.
         """
         pool = self.pool(address)
         link = await self._acquire_link(pool, probe_result, at_most_once=at_most_once)
@@ -226,40 +268,40 @@
             return link
         if not may_send():
             pool.release_link(link)
-            return NotSent(Reason.NO_TARGET, "the target was given up before it was reached")
-        ended: AttemptEnd | None = None
+            return NotSent(Reason.NO_TARGET, "the target was ruled out while connecting to it")
+        attempt_end: AttemptEnd | None = None
         sender: asyncio.Task[None] | None = None
         try:
             headers = self._dialect.request_headers(request, remaining=remaining, instance=instance)
-            whole = body.complete
-            length = request.length if whole is None else len(whole)
+            buffered_body = body.complete
+            length = request.length if buffered_body is None else len(buffered_body)
             head = request_head(request.method, request.path, headers, length=length)
             link.head_only = request.method == "HEAD"
-            if whole is not None:
-                link.write(head + whole)
+            if buffered_body is not None:
+                link.write(head + buffered_body)
             else:
                 link.write(head)
                 sender = asyncio.create_task(_send_body(link, body, chunked=length is None))
-            ended = await self._await_answer(pool, link, request, sender, on_status)
+            attempt_end = await self._await_answer(pool, link, request, sender, on_status)
         except _CallerBodyError as error:
-            ended = Broken(Reason.BODY_BROKEN, str(error))
+            attempt_end = Broken(Reason.BODY_BROKEN, str(error))
         except (LinkBrokenError, BodyCutError) as error:
-            ended = Broken(Reason.TARGET_BROKEN, str(error))
+            attempt_end = Broken(Reason.TARGET_BROKEN, str(error))
         finally:
-            if not isinstance(ended, Answered):
+            if not isinstance(attempt_end, Answered):
                 if sender is not None:
                     sender.cancel()
-                if isinstance(ended, NotRun) and sender is None:
+                if isinstance(attempt_end, NotRun) and sender is None:
                     pool.release_link(link)
                 else:
                     pool.discard(link)
-        return ended
+        return attempt_end
 
     @staticmethod
     async def _acquire_link(
         pool: LinkPool, probe_result: ProbeResult | None, *, at_most_once: bool
     ) -> TargetLink | NotSent:
-        """Return the connection of a probe if it is still good, else another."""
+        """Return the connection of a probe if it is still open, else one of the pool."""
         if probe_result is not None:
             link, probe_result.link = probe_result.link, None
             if isinstance(link, TargetLink) and not link.closed:
@@ -281,17 +323,17 @@
             head = incoming.head
             verdict = self._dialect.classify(head, request)
             if verdict is Verdict.UNRELATED:
-                # It belongs to an earlier request; ours may still follow it.
+                # This answers an earlier request; the answer to this one may follow.
                 link.not_reusable = True
                 await incoming.skip()
                 continue
             if verdict is not Verdict.WRONG_TARGET:
                 on_status(self._dialect.status(head))
             if verdict is Verdict.MATCHING:
-                passed = replace(head, headers=tuple(self._dialect.answer_headers(head)))
-                return Answered(LinkAnswer(pool, incoming, sender, passed))
+                caller_head = replace(head, headers=tuple(self._dialect.answer_headers(head)))
+                return Answered(LinkAnswer(pool, incoming, sender, caller_head))
             if verdict is Verdict.UNUSABLE:
-                detail = f"an answer with status {incoming.status} that can't be passed on"
+                detail = f"unusable answer with status {incoming.status}"
                 return Broken(Reason.TARGET_BROKEN, detail, incoming.status)
             await incoming.skip()
             return NotRun(incoming.status, verdict is Verdict.WRONG_TARGET)
@@ -311,7 +353,7 @@
 
 
 def _raise_send_error(sender: asyncio.Task[None]) -> None:
-    """Raise if the body could not be sent because the caller's own was not whole."""
+    """Raise the error that stopped sending the body, if there was one."""
     error = sender.exception()
     if isinstance(error, BodyCutError):
         raise _CallerBodyError(str(error)) from None
