--- a/dunlinnotch/transport/stream/target_link.py
+++ b/dunlinnotch/transport/stream/target_link.py
@@ -1,4 +1,4 @@
-"""One connection to a target, and the answers that come on it."""
+"""One connection to a target, and the answers received on it."""
 
 from __future__ import annotations
 
@@ -17,19 +17,36 @@
 
     from dunlinnotch.types import Address, Seconds
 
-#: An idle connection is used for at most this long, whatever the target allows.
+#: Maximum time for which an idle connection is kept for reuse, in seconds; a target may allow less.
 MAX_IDLE_S = 8.0
-#: A connection is given up so long before its target would close it.
+#: An idle connection is no longer used this long before the target will close it, in seconds,
+#: so that no request is sent on a connection that is just being closed.
 _IDLE_MARGIN_S = 1.0
 _MAX_HEADERS = 200
 
 
 class LinkBrokenError(Exception):
-    """A connection ended, or what came on it is no answer."""
+    """A connection was closed, or the bytes received on it are no HTTP answer."""
 
 
 class IncomingAnswer:
-    """One answer as it comes in."""
+    """One answer that is being received.
+
+    Parameters
+    ----------
+    link : TargetLink
+
+    Attributes
+    ----------
+    status : int
+    phrase : str
+        Reason phrase.
+    headers : list of Header
+    length : int or None
+        Length of the body in bytes; ``None`` if the head does not give it.
+    ends_at_close : bool
+        Whether only the end of the connection marks the end of the body.
+    """
 
     def __init__(self, link: TargetLink) -> None:
         self.link = link
@@ -42,43 +59,61 @@
 
     @property
     def head(self) -> AnswerHead:
-        """The answer's head."""
+        """The head of the answer."""
         return AnswerHead(self.status, self.phrase, tuple(self.headers), self.length)
 
     @property
     def done(self) -> bool:
-        """Whether the whole body has come."""
+        """Whether the complete body has been received."""
         return self._body.done
 
     def feed(self, part: bytes) -> None:
-        """Take in a part of the body."""
+        """Add a received part of the body."""
         self._body.put(part)
 
     def end(self, error: str = "") -> None:
-        """Note the end of the body, clean or not."""
+        """Mark the body as complete, or as cut if there is an error."""
         if error:
             self._body.fail(error)
         else:
             self._body.end()
 
     def parts(self) -> AsyncIterator[bytes]:
-        """Yield the body.
+        """Yield the parts of the body.
 
         Raises
         ------
         BodyCutError
-            If it ends early.
+            If the body ends early.
         """
         return self._body.parts()
 
     async def skip(self) -> None:
-        """Read the body to its end and drop it."""
+        """Read the body to its end without keeping it."""
         async for _ in self.parts():
             pass
 
 
 class TargetLink(StreamLink):
-    """One connection to a target."""
+    """One connection to a target.
+
+    Parameters
+    ----------
+    address : str
+
+    Attributes
+    ----------
+    not_reusable : bool
+        Whether the connection must be closed after the current request.
+    used : int
+        How often the connection was reused.
+    idle_until : float
+        Time until which the idle connection may be reused, in monotonic seconds.
+    busy : bool
+        Whether a request or probe uses the connection.
+    head_only : bool
+        Whether answers have no body, as the request is ``HEAD``.
+    """
 
     def __init__(self, address: Address) -> None:
         super().__init__()
@@ -96,22 +131,22 @@
         self._changed = asyncio.Event()
         self._error = ""
 
-    # -- from the transport
+    # Called by the transport
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End what is being read."""
-        self._end(f"the connection was lost: {exc}" if exc else "the target closed its connection")
+        """Fail the answer that is being received."""
+        self._end(f"connection lost: {exc}" if exc else "the target closed its connection")
         self.flow_control.resume()
 
     def eof_received(self) -> bool:
-        """End an answer that has no other end."""
+        """Complete an answer whose end is marked by the end of the connection only."""
         if self._receiving is not None and self._receiving.ends_at_close:
             self._receiving.end()
             self._receiving = None
         return False
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came; bytes that nobody waits for end the connection."""
+        """Parse received bytes; close an idle connection on which bytes arrive."""
         if self.closed:
             return
         if not self.busy:
@@ -120,35 +155,35 @@
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self._end(f"no HTTP answer: {error}")
+            self._end(f"invalid HTTP answer: {error}")
             self.abort()
 
-    def _end(self, fault: str) -> None:
-        self._error = self._error or fault
+    def _end(self, error: str) -> None:
+        self._error = self._error or error
         self.closed = True
         if self._receiving is not None:
             self._receiving.end(self._error)
             self._receiving = None
         self._changed.set()
 
-    # -- from the parser
+    # Called by the parser
 
     def on_message_begin(self) -> None:
-        """Begin an answer."""
+        """Start to parse an answer."""
         self._parsing = IncomingAnswer(self)
 
     def on_status(self, status: bytes) -> None:
-        """Take the phrase."""
+        """Add a part of the reason phrase."""
         self._parsing.phrase += status.decode("latin-1")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take one header."""
+        """Add a header."""
         if len(self._parsing.headers) < _MAX_HEADERS:
             header = Header(name.decode("latin-1"), value.decode("latin-1"))
             self._parsing.headers.append(header)
 
     def on_headers_complete(self) -> None:
-        """Hand the head to whoever waits for it."""
+        """Pass the answer to :meth:`next_answer`, unless it is an interim one (1xx)."""
         incoming = self._parsing
         incoming.status = self._parser.get_status_code()
         if incoming.status < 200:
@@ -171,31 +206,32 @@
     def _read_keep_alive(self, incoming: IncomingAnswer) -> None:
         if incoming.ends_at_close or not self._parser.should_keep_alive():
             self.not_reusable = True
-        stated = find_header(incoming.headers, "keep-alive") or ""
-        for token in stated.split(","):
+        keep_alive = find_header(incoming.headers, "keep-alive") or ""
+        for token in keep_alive.split(","):
             name, _, value = token.strip().partition("=")
             if name.lower() == "timeout" and value.isascii() and value.isdigit():
                 self._max_idle = min(MAX_IDLE_S, max(0.0, int(value) - _IDLE_MARGIN_S))
 
     def on_body(self, body: bytes) -> None:
-        """Hand a part of the body on."""
+        """Add a part of the body to its answer."""
         if self._receiving is not None:
             self._receiving.feed(body)
 
     def on_message_complete(self) -> None:
-        """End the answer."""
+        """Mark the answer as completely received."""
         if self._receiving is not None:
             self._receiving.end()
             self._receiving = None
 
-    # -- for attempts
+    # Called by the client and the pool
 
     async def next_answer(self) -> IncomingAnswer:
-        """Return the next answer whose head has come.
+        """Wait for the next answer; return it once its head has been received.
 
         Raises
         ------
         LinkBrokenError
+            If the connection ends first.
         """
         while not self._answers:
             if self.closed:
@@ -205,19 +241,19 @@
         return self._answers.popleft()
 
     def abort(self) -> None:
-        """Close at once, so that the target drops what it works on."""
+        """Close the connection at once, so that the target stops its work."""
         self.closed = True
         if self._transport is not None:
             self._transport.abort()
 
     def close(self) -> None:
-        """Close."""
+        """Close the connection after the written bytes have been sent."""
         self.closed = True
         if self._transport is not None:
             self._transport.close()
 
     def mark_idle(self, now: Seconds) -> bool:
-        """Become idle; return False if the connection can't be used again."""
+        """Mark the connection as idle; return False if it can't be reused."""
         if self.closed or self.not_reusable or self._receiving is not None or self._answers:
             return False
         self.busy = False
@@ -226,7 +262,20 @@
         return True
 
     def reuse(self, now: Seconds, *, max_idle: Seconds) -> bool:
-        """Become busy again; return False if the connection has rested too long."""
+        """Mark an idle connection as busy.
+
+        Parameters
+        ----------
+        now : float
+            Monotonic seconds.
+        max_idle : float
+            Seconds that the connection may have been idle.
+
+        Returns
+        -------
+        bool
+            False if the connection is closed or has been idle for too long.
+        """
         if self.closed or now >= self.idle_until or now - self._idle_since > max_idle:
             return False
         self.busy = True
