--- a/dunlinnotch/transport/stream/__init__.py
+++ b/dunlinnotch/transport/stream/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 on one event loop: callers' connections, targets' connections, peers' datagrams."""
+"""Network input and output on one event loop: HTTP/1.1 server and client, and peer messages."""
--- a/dunlinnotch/transport/stream/common.py
+++ b/dunlinnotch/transport/stream/common.py
@@ -1,8 +1,8 @@
-"""Heads and framing that server and client share.
+"""Heads and framing of HTTP/1.1 messages, used by server and client.
 
-Messages are parsed by :mod:`httptools`, which refuses any form that two
-parsers may read differently: two lengths, a length with chunks, bare line
-ends, folded lines, chunk sizes with a sign.
+Messages are parsed by :mod:`httptools`, which rejects forms that another parser may read
+differently: two lengths, a length with chunks, bare line ends, folded lines, and chunk sizes
+with a sign.  This guards against request smuggling.
 """
 
 from __future__ import annotations
@@ -33,37 +33,37 @@
 
 
 class FlowControl:
-    """Make a writer wait while the other end does not read."""
+    """Makes writers wait while the buffer of the transport is full."""
 
     def __init__(self) -> None:
         self._waiter: asyncio.Event | None = None
 
     def pause(self) -> None:
-        """Note that the transport's buffer is full."""
-        import asyncio  # noqa: PLC0415 - one name, used only when a buffer is full
+        """Make writers wait, because the buffer of the transport is full."""
+        import asyncio  # noqa: PLC0415 - needed only when a buffer is full
 
         self._waiter = self._waiter or asyncio.Event()
 
     def resume(self) -> None:
-        """Let writers go on."""
+        """Let writers continue."""
         if self._waiter is not None:
             self._waiter.set()
             self._waiter = None
 
     async def wait(self) -> None:
-        """Return once the transport takes more."""
+        """Wait until the transport accepts more bytes."""
         if self._waiter is not None:
             await self._waiter.wait()
 
 
 def find_header(headers: Iterable[Header], name: str) -> str | None:
-    """Return the first value of a header, or None.
+    """Return the first value of a header, or None if it is missing.
 
     Parameters
     ----------
     headers : iterable of Header
     name : str
-        In lower case.
+        Name of the header in lower case.
     """
     for header in headers:
         if header.name.lower() == name:
@@ -72,7 +72,16 @@
 
 
 def request_head(method: str, path: str, headers: Iterable[Header], *, length: int | None) -> bytes:
-    """Return the head of a request; a body of unknown length is sent in chunks."""
+    """Return the head of a request.
+
+    Parameters
+    ----------
+    method, path : str
+    headers : iterable of Header
+        Without those of framing, which are added.
+    length : int or None
+        Length of the body in bytes; ``None`` if the body will be sent in chunks.
+    """
     lines = [f"{method} {path} HTTP/1.1"]
     lines += [f"{header.name}: {header.value}" for header in headers]
     if length is None:
@@ -85,7 +94,21 @@
 def answer_head(
     status: int, phrase: str, headers: Sequence[Header], *, length: int | None, close: bool
 ) -> bytes:
-    """Return the head of an answer; a body of unknown length is sent in chunks."""
+    """Return the head of an answer.
+
+    Parameters
+    ----------
+    status : int
+    phrase : str
+        Reason phrase; the usual one of the status if empty.
+    headers : sequence of Header
+        Without those of framing and of the connection, which are added.
+    length : int or None
+        Length of the body in bytes; ``None`` if the body will be sent in chunks, or if the
+        status allows no body.
+    close : bool
+        Whether the connection will be closed after the answer.
+    """
     lines = [f"HTTP/1.1 {status} {phrase or _REASON_PHRASES.get(status, '')}"]
     lines += [f"{header.name}: {header.value}" for header in headers]
     if length is not None:
--- a/dunlinnotch/transport/stream/link.py
+++ b/dunlinnotch/transport/stream/link.py
@@ -1,4 +1,4 @@
-"""What each end of a connection needs: bytes held within bounds, both ways."""
+"""Base class of connections and a bounded queue for bodies, used by server and client."""
 
 from __future__ import annotations
 
@@ -12,17 +12,19 @@
 if TYPE_CHECKING:
     from collections.abc import AsyncIterator
 
-#: Bytes of a body held before the sender is made to wait.
+#: Maximum size of the unread part of a body before the connection is no longer read.
 MAX_BUFFERED_BODY_BYTES = 64 * 1024
 
 
 class StreamLink(asyncio.Protocol):
-    """One connection; a subclass parses what comes.
+    """One connection; a subclass parses the received bytes.
 
     Attributes
     ----------
-    over : bool
-        Whether nothing is to be sent or taken any more.
+    flow_control : FlowControl
+        Makes writers wait while the other end does not read.
+    closed : bool
+        Whether nothing may be sent or received any more.
     """
 
     def __init__(self) -> None:
@@ -32,7 +34,7 @@
         self._paused = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
@@ -41,41 +43,41 @@
         self.flow_control.pause()
 
     def resume_writing(self) -> None:
-        """Let writers go on."""
+        """Let writers continue."""
         self.flow_control.resume()
 
     def write(self, data: bytes) -> None:
-        """Write without waiting."""
+        """Write bytes without waiting; ignored if the connection is closed."""
         if self._transport is not None and not self.closed:
             self._transport.write(data)
 
     def pause_reading(self) -> None:
-        """Stop taking bytes."""
+        """Stop reading from the connection."""
         if not self._paused and self._transport is not None and not self.closed:
             self._paused = True
             self._transport.pause_reading()
 
     def resume_reading(self) -> None:
-        """Take bytes again."""
+        """Continue to read from the connection."""
         if self._paused and self._transport is not None and not self.closed:
             self._paused = False
             self._transport.resume_reading()
 
 
 class BodyQueue:
-    """Parts of one body between the connection that it comes on and whoever reads it.
+    """Buffer between the connection that receives a body and the reader of the body.
 
     Parameters
     ----------
     link : StreamLink
-        Takes no more bytes while too much is held.
+        Reading from it is paused while too many bytes are buffered.
 
     Attributes
     ----------
     done : bool
-        Whether the body has come to its end.
+        Whether the complete body has been received.
     error : str
-        Why it can't be read to its end; empty if it can.
+        Why the body can't be received completely; empty if there is no error.
     """
 
     def __init__(self, link: StreamLink) -> None:
@@ -87,7 +89,7 @@
         self.error = ""
 
     def put(self, part: bytes) -> None:
-        """Take in a part."""
+        """Add a received part."""
         self._parts.append(part)
         self._buffered_bytes += len(part)
         if self._buffered_bytes > MAX_BUFFERED_BODY_BYTES:
@@ -95,26 +97,26 @@
         self._changed.set()
 
     def end(self) -> None:
-        """Note the end of the body."""
+        """Mark the body as complete."""
         self.done = True
         self._changed.set()
 
     def fail(self, error: str) -> None:
-        """Note that the rest of the body can't be had."""
+        """Mark the body as cut; the first error is kept."""
         self.error = self.error or error
         self._changed.set()
 
     def drop(self) -> None:
-        """Let go of the parts that nobody will read."""
+        """Drop the buffered parts, which will not be read."""
         self._parts.clear()
 
     async def parts(self) -> AsyncIterator[bytes]:
-        """Yield the body.
+        """Yield the parts of the body; wait for more until its end.
 
         Raises
         ------
         BodyCutError
-            If it can't be read to its end; parts that came before are yielded first.
+            If the body is cut; the parts received before are yielded first.
         """
         while True:
             while self._parts:
