--- a/dunlinnotch/transport/stream/link_pool.py
+++ b/dunlinnotch/transport/stream/link_pool.py
@@ -1,4 +1,4 @@
-"""All connections of this box to one target."""
+"""Connection pool for one address."""
 
 from __future__ import annotations
 
@@ -12,23 +12,31 @@
 if TYPE_CHECKING:
     from dunlinnotch.types import Address, Seconds
 
-#: Longest wait for a new connection, in seconds.
+#: Timeout for opening a connection, in seconds.
 _CONNECT_TIMEOUT_S = 0.6
-#: Time in which a process that is ending closes a connection it has just taken, in seconds.
+#: Time after which a new connection is checked for an early close, in seconds.  A process that
+#: is exiting may accept a connection and close it at once.
 _EARLY_CLOSE_DELAY_S = 0.005
-#: Time in which an address without a process refuses a connection, in seconds: some round
-#: trips between places.
+#: Timeout for a refusal by an address where no process listens, in seconds; allows for some
+#: round trips between places.
 _REFUSAL_TIMEOUT_S = 0.05
 
 
 class LinkPool:
-    """All connections to one target.
+    """Open and idle connections to one address.
 
     Parameters
     ----------
     address : str
     max_links : int
-        Connections that may be open at once.
+        Maximum number of connections that are open at the same time.
+
+    Attributes
+    ----------
+    open_links : set of TargetLink
+        Open connections, idle or busy, and those being opened.
+    opened : int
+        Number of connections opened so far.
     """
 
     def __init__(self, address: Address, *, max_links: int) -> None:
@@ -40,12 +48,17 @@
         self._loop = asyncio.get_running_loop()
 
     async def acquire_link(self, *, max_idle: Seconds = MAX_IDLE_S) -> TargetLink | NotSent:
-        """Return an idle connection, the last used first, or open one.
+        """Return the idle connection that was used last, or a new connection.
 
         Parameters
         ----------
         max_idle : float, optional
             Seconds that the connection may have been idle.
+
+        Returns
+        -------
+        TargetLink or NotSent
+            :class:`~.relay.NotSent` if no connection could be opened.
         """
         while self._idle:
             link = self._idle.pop()
@@ -55,14 +68,14 @@
         return await self.connect()
 
     async def refuses_connections(self) -> bool:
-        """Return whether the address refuses a new connection: no process listens there.
+        """Return whether the address refuses a new connection, as no process listens there.
 
         Notes
         -----
-        A connection that comes about is kept for later.  Silence, and a reset after
-        connecting, do not count: a link that is cut looks like the first, a target that
-        has too many connections like the second.  A process that is just ending may take
-        a connection and close it at once, so that is tried once more.
+        A timeout or a reset of an open connection is no refusal: it may also mean that the
+        network is interrupted, or that the target has too many connections.  A connection that
+        is closed at once is opened a second time, because a process that is exiting may still
+        accept connections.  A connection that stays open is kept in the pool.
         """
         try:
             async with asyncio.timeout(_REFUSAL_TIMEOUT_S):
@@ -82,7 +95,12 @@
         return False
 
     async def connect(self) -> TargetLink | NotSent:
-        """Open a connection."""
+        """Open a connection, unless the maximum number is open.
+
+        Returns
+        -------
+        TargetLink or NotSent
+        """
         self._remove_closed()
         if len(self.open_links) >= self.max_links:
             return NotSent(Reason.CONNECT_FAILED, f"all {self.max_links} connections are in use")
@@ -104,7 +122,7 @@
         return link
 
     def release_link(self, link: TargetLink) -> None:
-        """Keep a connection for later if it can be used again, else close it."""
+        """Return a connection to the pool if it can be reused, else close it."""
         if link.mark_idle(self._loop.time()):
             self._idle.append(link)
         else:
@@ -116,7 +134,7 @@
         self.open_links.discard(link)
 
     def close(self) -> None:
-        """Close the idle connections; busy ones end with their request."""
+        """Close the idle connections; those in use stay open."""
         for link in self._idle:
             self._close_link(link)
         self._idle.clear()
