--- a/dunlinnotch/transport/stream/peers.py
+++ b/dunlinnotch/transport/stream/peers.py
@@ -1,4 +1,4 @@
-"""Peers' datagrams, and the streams on which tables are fetched."""
+"""Messages between peers: datagrams for gossip, and streams for fetching tables."""
 
 from __future__ import annotations
 
@@ -23,22 +23,31 @@
     from dunlinnotch.state.table_replica import TableDelta
     from dunlinnotch.types import Address, Seconds
 
-    #: Given a table, a version and its era, returns the changes since and their age in ms.
+    #: Takes a table, a version and the epoch of the version; returns the changes since then and
+    #: the age of the table in ms (negative if the table has not been received yet).
     DeltaReader = Callable[[str, int, int], tuple[TableDelta, int]]
 
 _MAX_REQUEST_BYTES = 4096
 _MAX_TABLE_BYTES = 32 * 1024 * 1024
 _READ_SIZE_BYTES = 64 * 1024
-#: Time for a peer to ask once it has connected, in seconds.
+#: Time within which a peer that has connected must send its request, in seconds.
 _REQUEST_TIMEOUT_S = 2.0
 
 
 class GossipPort(asyncio.DatagramProtocol):
-    """Send and receive words, and evidence on requests.
+    """Send and receive heartbeats and crash reports as datagrams.
 
     Parameters
     ----------
     on_heartbeat, on_crash_report : callable
+        Called with each message received.
+
+    Attributes
+    ----------
+    sent_bytes : int
+        Number of bytes sent so far.
+    malformed_datagrams : int
+        Number of datagrams received that could not be parsed.
     """
 
     def __init__(
@@ -53,12 +62,12 @@
         self.malformed_datagrams = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
-        # The loop's own class does not say that it is one.
+        """Store the transport."""
+        # Cast, because the class that the event loop uses is no subclass of DatagramTransport.
         self._transport = cast("asyncio.DatagramTransport", transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str | Any, int]) -> None:
-        """Take in messages; anything else is counted."""
+        """Pass on the messages of a datagram; count datagrams that can't be parsed."""
         try:
             messages = unpack_messages(data)
         except ProtocolError:
@@ -71,10 +80,10 @@
                 self._on_heartbeat(message)
 
     def error_received(self, exc: Exception) -> None:
-        """Do nothing: a peer that is not there is noticed by its silence."""
+        """Ignore the error: a peer that can't be reached is noticed by its missing heartbeats."""
 
     def send(self, messages: Iterable[Heartbeat | CrashReport], to: Iterable[Address]) -> None:
-        """Send messages to some peers."""
+        """Send messages to all addresses listed."""
         if self._transport is None:
             return
         datagrams = list(pack_messages(messages))
@@ -86,11 +95,17 @@
 
 
 class TablePort:
-    """Tell peers that ask what changed in a table.
+    """Server from which peers fetch the changes of a table.
 
     Parameters
     ----------
     read_delta : callable
+        Returns the changes of a table; see :data:`DeltaReader`.
+
+    Attributes
+    ----------
+    sent_bytes : int
+        Number of bytes sent so far.
     """
 
     def __init__(self, read_delta: DeltaReader) -> None:
@@ -99,28 +114,28 @@
         self.sent_bytes = 0
 
     async def listen(self, address: Address) -> None:
-        """Begin to listen."""
+        """Start to listen on an address."""
         host, _, port = address.rpartition(":")
         self._server = await asyncio.start_server(self._serve, host, int(port))
 
     def close(self) -> None:
-        """Take no more questions."""
+        """Stop listening; requests in progress are still answered."""
         if self._server is not None:
             self._server.close()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         try:
             async with asyncio.timeout(_REQUEST_TIMEOUT_S):
-                question = await _read_object(reader, _MAX_REQUEST_BYTES)
+                request = await _read_object(reader, _MAX_REQUEST_BYTES)
             delta, age_ms = self._read_delta(
-                str(question["t"]), int(question["v"]), int(question["e"])
+                str(request["t"]), int(request["v"]), int(request["e"])
             )
             data: bytes = msgpack.packb(pack_delta(delta, age_ms=age_ms))
             writer.write(data)
             self.sent_bytes += len(data)
             await writer.drain()
         except (TimeoutError, OSError, ProtocolError, KeyError, ValueError, TypeError):
-            pass  # A peer that asks nothing sensible, or left, is not answered.
+            pass  # The request is invalid or the peer has gone: close without an answer.
         finally:
             writer.close()
 
@@ -128,11 +143,34 @@
 async def fetch_table(
     address: Address, table: str, version: int, *, epoch: int, timeout: Seconds
 ) -> tuple[TableDelta, int]:
-    """Ask a peer for what changed in a table after a version of an era.
+    """Fetch the changes of a table from a peer.
+
+    Parameters
+    ----------
+    address : str
+        Address of the peer.
+    table : str
+        Name of the table.
+    version, epoch : int
+        Version that this box has, and the epoch of the store to which it belongs.
+    timeout : float
+        Seconds for the whole request, including connecting.
+
+    Returns
+    -------
+    delta : TableDelta
+        Changes since the version.
+    age_ms : int
+        Age of the table at the peer in ms; negative if the peer does not have it.
 
     Raises
     ------
-    ProtocolError, OSError, TimeoutError
+    ProtocolError
+        If the answer is malformed.
+    OSError
+        If the connection fails.
+    TimeoutError
+        If there is no complete answer in time.
     """
     host, _, port = address.rpartition(":")
     async with asyncio.timeout(timeout):
@@ -144,12 +182,12 @@
             writer.close()
 
 
-async def _read_object(reader: asyncio.StreamReader, most: int) -> Any:  # noqa: ANN401
-    unpacker = msgpack.Unpacker(max_buffer_size=most)
+async def _read_object(reader: asyncio.StreamReader, max_bytes: int) -> Any:  # noqa: ANN401
+    unpacker = msgpack.Unpacker(max_buffer_size=max_bytes)
     while True:
         data = await reader.read(_READ_SIZE_BYTES)
         if not data:
-            msg = "the stream ended inside an object"
+            msg = "the connection was closed before a complete msgpack object was received"
             raise ProtocolError(msg)
         try:
             unpacker.feed(data)
@@ -157,5 +195,5 @@
         except msgpack.OutOfData:
             continue
         except (ValueError, msgpack.UnpackException) as error:
-            msg = f"no msgpack object: {error}"
+            msg = f"invalid msgpack object: {error}"
             raise ProtocolError(msg) from None
