--- a/dunlinnotch/transport/stream/fetch.py
+++ b/dunlinnotch/transport/stream/fetch.py
@@ -1,4 +1,4 @@
-"""One request to a service of the platform, its answer read whole."""
+"""HTTP client for services of the platform; reads complete answers."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class FetchedAnswer(NamedTuple):
-    """An answer."""
+    """A complete answer."""
 
     status: int
     headers: Sequence[Header]
@@ -28,13 +28,18 @@
 
 
 class Fetcher:
-    """Make requests to one address.
+    """Send requests to one address.
 
     Parameters
     ----------
     address : str
     max_links : int, default 8
-        Connections that may be open at once.
+        Maximum number of connections that are open at the same time.
+
+    Attributes
+    ----------
+    calls, failures : int
+        Number of requests so far, and of those that failed.
     """
 
     def __init__(self, address: Address, *, max_links: int = 8) -> None:
@@ -46,12 +51,20 @@
     async def fetch(
         self, method: str, path: str, *, body: bytes = b"", timeout: Seconds
     ) -> FetchedAnswer:
-        """Make one request.
+        """Send a request and return the complete answer.
+
+        Parameters
+        ----------
+        method, path : str
+        body : bytes, optional
+            Sent as JSON if not empty.
+        timeout : float
+            Seconds for the whole request, including connecting.
 
         Raises
         ------
         PlatformUnavailableError
-            If no whole answer comes in time; the connection is not used again.
+            If no complete answer is received in time; the connection is then closed.
         """
         self.calls += 1
         try:
@@ -66,7 +79,7 @@
         link = await self._pool.acquire_link()
         if isinstance(link, NotSent):
             raise LinkBrokenError(link.detail)
-        whole = False
+        completed = False
         try:
             headers = [self._host]
             if body:
@@ -74,10 +87,10 @@
             link.write(request_head(method, path, headers, length=len(body)) + body)
             incoming = await link.next_answer()
             data = b"".join([part async for part in incoming.parts()])
-            whole = True
+            completed = True
             return FetchedAnswer(incoming.status, incoming.headers, data)
         finally:
-            if whole:
+            if completed:
                 self._pool.release_link(link)
             else:
                 self._pool.discard(link)
