--- a/dunlinnotch/transport/stream/target_link.py
+++ b/dunlinnotch/transport/stream/target_link.py
@@ -158,8 +158,8 @@
             self._end(f"invalid HTTP answer: {error}")
             self.abort()
 
-    def _end(self, error: str) -> None:
-        self._error = self._error or error
+    def _end(self, reason: str) -> None:
+        self._error = self._error or reason
         self.closed = True
         if self._receiving is not None:
             self._receiving.end(self._error)
@@ -177,7 +177,7 @@
         self._parsing.phrase += status.decode("latin-1")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Add a header."""
+        """Add a header; those beyond the maximum number are ignored."""
         if len(self._parsing.headers) < _MAX_HEADERS:
             header = Header(name.decode("latin-1"), value.decode("latin-1"))
             self._parsing.headers.append(header)
