--- a/dunlinnotch/transport/stream/fetch.py
+++ b/dunlinnotch/transport/stream/fetch.py
@@ -1,4 +1,4 @@
-"""One request to a service of the platform, its answer read whole."""
+"""HTTP client for services of the platform; reads complete answers."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
     from dunlinnotch.types import Address, Seconds
 
 
-class Fetched(NamedTuple):
-    """An answer."""
+class FetchedAnswer(NamedTuple):
+    """A complete answer."""
 
     status: int
     headers: Sequence[Header]
@@ -28,30 +28,43 @@
 
 
 class Fetcher:
-    """Make requests to one address.
+    """Send requests to one address.
 
     Parameters
     ----------
     address : str
-    most : int, default 8
-        Connections that may be open at once.
+    max_links : int, default 8
+        Maximum number of connections that are open at the same time.
+
+    Attributes
+    ----------
+    calls, failures : int
+        Number of requests so far, and of those that failed.
     """
 
-    def __init__(self, address: Address, *, most: int = 8) -> None:
-        self._pool = LinkPool(address, most=most)
+    def __init__(self, address: Address, *, max_links: int = 8) -> None:
+        self._pool = LinkPool(address, max_links=max_links)
         self._host = Header("Host", address)
         self.calls = 0
         self.failures = 0
 
     async def fetch(
         self, method: str, path: str, *, body: bytes = b"", timeout: Seconds
-    ) -> Fetched:
-        """Make one request.
+    ) -> FetchedAnswer:
+        """Send a request and return the complete answer.
+
+        Parameters
+        ----------
+        method, path : str
+        body : bytes, optional
+            Sent as JSON if not empty.
+        timeout : float
+            Seconds for the whole request, including connecting.
 
         Raises
         ------
         PlatformUnavailableError
-            If no whole answer comes in time; the connection is not used again.
+            If no complete answer is received in time; the connection is then closed.
         """
         self.calls += 1
         try:
@@ -62,11 +75,11 @@
             msg = f"{method} {path}: {str(error) or f'no answer within {timeout:g} s'}"
             raise PlatformUnavailableError(msg) from None
 
-    async def _fetch(self, method: str, path: str, body: bytes) -> Fetched:
-        link = await self._pool.take()
+    async def _fetch(self, method: str, path: str, body: bytes) -> FetchedAnswer:
+        link = await self._pool.acquire_link()
         if isinstance(link, NotSent):
             raise LinkBrokenError(link.detail)
-        whole = False
+        completed = False
         try:
             headers = [self._host]
             if body:
@@ -74,10 +87,10 @@
             link.write(request_head(method, path, headers, length=len(body)) + body)
             incoming = await link.next_answer()
             data = b"".join([part async for part in incoming.parts()])
-            whole = True
-            return Fetched(incoming.status, incoming.headers, data)
+            completed = True
+            return FetchedAnswer(incoming.status, incoming.headers, data)
         finally:
-            if whole:
-                self._pool.give_back(link)
+            if completed:
+                self._pool.release_link(link)
             else:
                 self._pool.discard(link)
--- a/dunlinnotch/transport/stream/link_pool.py
+++ b/dunlinnotch/transport/stream/link_pool.py
@@ -1,4 +1,4 @@
-"""All connections of this box to one target."""
+"""Connection pool for one address."""
 
 from __future__ import annotations
 
@@ -7,125 +7,143 @@
 
 from dunlinnotch.protocol.outcome import Reason
 from dunlinnotch.protocol.relay import NotSent
-from dunlinnotch.transport.stream.target_link import IDLE_MOST_S, TargetLink
+from dunlinnotch.transport.stream.target_link import MAX_IDLE_S, TargetLink
 
 if TYPE_CHECKING:
     from dunlinnotch.types import Address, Seconds
 
-#: Longest wait for a new connection, in seconds.
-_CONNECT_S = 0.6
-#: Time in which a process that is ending closes a connection it has just taken, in seconds.
-_ENDING_S = 0.005
-#: Time in which an address without a process refuses a connection, in seconds: some round
-#: trips between places.
-_REFUSAL_S = 0.05
+#: Timeout for opening a connection, in seconds.
+_CONNECT_TIMEOUT_S = 0.6
+#: Time after which a new connection is checked for an early close, in seconds.  A process that
+#: is exiting may accept a connection and close it at once.
+_EARLY_CLOSE_DELAY_S = 0.005
+#: Timeout for a refusal by an address where no process listens, in seconds; allows for some
+#: round trips between places.
+_REFUSAL_TIMEOUT_S = 0.05
 
 
 class LinkPool:
-    """All connections to one target.
+    """Open and idle connections to one address.
 
     Parameters
     ----------
     address : str
-    most : int
-        Connections that may be open at once.
+    max_links : int
+        Maximum number of connections that are open at the same time.
+
+    Attributes
+    ----------
+    open_links : set of TargetLink
+        Open connections, idle or busy, and those being opened.
+    opened : int
+        Number of connections opened so far.
     """
 
-    def __init__(self, address: Address, *, most: int) -> None:
+    def __init__(self, address: Address, *, max_links: int) -> None:
         self.address = address
-        self.most = most
-        self.open: set[TargetLink] = set()
+        self.max_links = max_links
+        self.open_links: set[TargetLink] = set()
         self.opened = 0
         self._idle: list[TargetLink] = []
         self._loop = asyncio.get_running_loop()
 
-    async def take(self, *, rested_most: Seconds = IDLE_MOST_S) -> TargetLink | NotSent:
-        """Return an idle connection, the last used first, or open one.
+    async def acquire_link(self, *, max_idle: Seconds = MAX_IDLE_S) -> TargetLink | NotSent:
+        """Return the idle connection that was used last, or a new connection.
 
         Parameters
         ----------
-        rested_most : float, optional
+        max_idle : float, optional
             Seconds that the connection may have been idle.
+
+        Returns
+        -------
+        TargetLink or NotSent
+            :class:`~.relay.NotSent` if no connection could be opened.
         """
         while self._idle:
             link = self._idle.pop()
-            if link.take(self._loop.time(), rested_most=rested_most):
+            if link.reuse(self._loop.time(), max_idle=max_idle):
                 return link
-            self._drop(link)
+            self._close_link(link)
         return await self.connect()
 
-    async def refuses(self) -> bool:
-        """Return whether the address refuses a new connection: no process listens there.
+    async def refuses_connections(self) -> bool:
+        """Return whether the address refuses a new connection, as no process listens there.
 
         Notes
         -----
-        A connection that comes about is kept for later.  Silence, and a reset after
-        connecting, do not count: a link that is cut looks like the first, a target that
-        has too many connections like the second.  A process that is just ending may take
-        a connection and close it at once, so that is tried once more.
+        A timeout or a reset of an open connection is no refusal: it may also mean that the
+        network is interrupted, or that the target has too many connections.  A connection that
+        is closed at once is opened a second time, because a process that is exiting may still
+        accept connections.  A connection that stays open is kept in the pool.
         """
         try:
-            async with asyncio.timeout(_REFUSAL_S):
+            async with asyncio.timeout(_REFUSAL_TIMEOUT_S):
                 link = await self.connect()
                 if isinstance(link, NotSent):
                     return link.refused
-                await asyncio.sleep(_ENDING_S)
-                if not link.over:
-                    self.give_back(link)
+                await asyncio.sleep(_EARLY_CLOSE_DELAY_S)
+                if not link.closed:
+                    self.release_link(link)
                     return False
                 link = await self.connect()
         except TimeoutError:
             return False
         if isinstance(link, NotSent):
             return link.refused
-        self.give_back(link)
+        self.release_link(link)
         return False
 
     async def connect(self) -> TargetLink | NotSent:
-        """Open a connection."""
-        self._forget_closed()
-        if len(self.open) >= self.most:
-            return NotSent(Reason.CONNECT_FAILED, f"all {self.most} connections are in use")
+        """Open a connection, unless the maximum number is open.
+
+        Returns
+        -------
+        TargetLink or NotSent
+        """
+        self._remove_closed()
+        if len(self.open_links) >= self.max_links:
+            return NotSent(Reason.CONNECT_FAILED, f"all {self.max_links} connections are in use")
         host, _, port = self.address.rpartition(":")
         link = TargetLink(self.address)
-        self.open.add(link)
+        self.open_links.add(link)
         try:
-            async with asyncio.timeout(_CONNECT_S):
+            async with asyncio.timeout(_CONNECT_TIMEOUT_S):
                 await self._loop.create_connection(lambda: link, host, int(port))
         except (OSError, TimeoutError) as error:
-            self.open.discard(link)
+            self.open_links.discard(link)
             refused = isinstance(error, ConnectionRefusedError)
             detail = f"{type(error).__name__}: {error}"
             return NotSent(Reason.CONNECT_FAILED, detail, refused=refused)
         except asyncio.CancelledError:
-            self.open.discard(link)
+            self.open_links.discard(link)
             raise
         self.opened += 1
         return link
 
-    def give_back(self, link: TargetLink) -> None:
-        """Keep a connection for later if it can be used again, else close it."""
-        if link.rest(self._loop.time()):
+    def release_link(self, link: TargetLink) -> None:
+        """Return a connection to the pool if it can be reused, else close it."""
+        if link.mark_idle(self._loop.time()):
             self._idle.append(link)
         else:
-            self._drop(link)
+            self._close_link(link)
 
     def discard(self, link: TargetLink) -> None:
         """Close a connection at once."""
         link.abort()
-        self.open.discard(link)
+        self.open_links.discard(link)
 
     def close(self) -> None:
-        """Close the idle connections; busy ones end with their request."""
+        """Close the idle connections; those in use stay open."""
         for link in self._idle:
-            self._drop(link)
+            self._close_link(link)
         self._idle.clear()
 
-    def _drop(self, link: TargetLink) -> None:
+    def _close_link(self, link: TargetLink) -> None:
         link.close()
-        self.open.discard(link)
+        self.open_links.discard(link)
 
-    def _forget_closed(self) -> None:
-        for link in [link for link in self.open if link.over]:
-            self.open.discard(link)
-        self._idle = [link for link in self._idle if not link.over]
+    def _remove_closed(self) -> None:
+        for link in [link for link in self.open_links if link.closed]:
+            self.open_links.discard(link)
+        self._idle = [link for link in self._idle if not link.closed]
--- a/dunlinnotch/transport/stream/target_link.py
+++ b/dunlinnotch/transport/stream/target_link.py
@@ -1,4 +1,4 @@
-"""One connection to a target, and the answers that come on it."""
+"""One connection to a target, and the answers received on it."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 import httptools
 
 from dunlinnotch.state.heads import AnswerHead, Header
-from dunlinnotch.transport.stream.common import find
+from dunlinnotch.transport.stream.common import find_header
 from dunlinnotch.transport.stream.link import BodyQueue, StreamLink
 
 if TYPE_CHECKING:
@@ -17,19 +17,36 @@
 
     from dunlinnotch.types import Address, Seconds
 
-#: An idle connection is used for at most this long, whatever the target allows.
-IDLE_MOST_S = 8.0
-#: A connection is given up so long before its target would close it.
+#: Maximum time for which an idle connection is kept for reuse, in seconds; a target may allow less.
+MAX_IDLE_S = 8.0
+#: An idle connection is no longer used this long before the target will close it, in seconds,
+#: so that no request is sent on a connection that is just being closed.
 _IDLE_MARGIN_S = 1.0
-_HEADERS_MAX = 200
+_MAX_HEADERS = 200
 
 
 class LinkBrokenError(Exception):
-    """A connection ended, or what came on it is no answer."""
+    """A connection was closed, or the bytes received on it are no HTTP answer."""
 
 
-class Incoming:
-    """One answer as it comes in."""
+class IncomingAnswer:
+    """One answer that is being received.
+
+    Parameters
+    ----------
+    link : TargetLink
+
+    Attributes
+    ----------
+    status : int
+    phrase : str
+        Reason phrase.
+    headers : list of Header
+    length : int or None
+        Length of the body in bytes; ``None`` if the head does not give it.
+    ends_at_close : bool
+        Whether only the end of the connection marks the end of the body.
+    """
 
     def __init__(self, link: TargetLink) -> None:
         self.link = link
@@ -37,82 +54,100 @@
         self.phrase = ""
         self.headers: list[Header] = []
         self.length: int | None = None
-        self.until_end = False
+        self.ends_at_close = False
         self._body = BodyQueue(link)
 
     @property
     def head(self) -> AnswerHead:
-        """The answer's head."""
+        """The head of the answer."""
         return AnswerHead(self.status, self.phrase, tuple(self.headers), self.length)
 
     @property
     def done(self) -> bool:
-        """Whether the whole body has come."""
+        """Whether the complete body has been received."""
         return self._body.done
 
     def feed(self, part: bytes) -> None:
-        """Take in a part of the body."""
+        """Add a received part of the body."""
         self._body.put(part)
 
     def end(self, error: str = "") -> None:
-        """Note the end of the body, clean or not."""
+        """Mark the body as complete, or as cut if there is an error."""
         if error:
             self._body.fail(error)
         else:
             self._body.end()
 
     def parts(self) -> AsyncIterator[bytes]:
-        """Yield the body.
+        """Yield the parts of the body.
 
         Raises
         ------
         BodyCutError
-            If it ends early.
+            If the body ends early.
         """
         return self._body.parts()
 
     async def skip(self) -> None:
-        """Read the body to its end and drop it."""
+        """Read the body to its end without keeping it."""
         async for _ in self.parts():
             pass
 
 
 class TargetLink(StreamLink):
-    """One connection to a target."""
+    """One connection to a target.
+
+    Parameters
+    ----------
+    address : str
+
+    Attributes
+    ----------
+    not_reusable : bool
+        Whether the connection must be closed after the current request.
+    used : int
+        How often the connection was reused.
+    idle_until : float
+        Time until which the idle connection may be reused, in monotonic seconds.
+    busy : bool
+        Whether a request or probe uses the connection.
+    head_only : bool
+        Whether answers have no body, as the request is ``HEAD``.
+    """
 
     def __init__(self, address: Address) -> None:
         super().__init__()
         self.address = address
-        self.spoiled = False
+        self.not_reusable = False
         self.used = 0
         self.idle_until: Seconds = 0.0
         self.busy = True
         self.head_only = False
-        self._keep_s = IDLE_MOST_S
-        self._rested_at: Seconds = 0.0
+        self._max_idle = MAX_IDLE_S
+        self._idle_since: Seconds = 0.0
         self._parser = httptools.HttpResponseParser(self)
-        self._reading: Incoming | None = None
-        self._heads: deque[Incoming] = deque()
-        self._news = asyncio.Event()
-        self._fault = ""
+        self._receiving: IncomingAnswer | None = None
+        self._answers: deque[IncomingAnswer] = deque()
+        self._changed = asyncio.Event()
+        self._error = ""
 
-    # -- from the transport
+    # Called by the transport
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End what is being read."""
-        self._end(f"the connection was lost: {exc}" if exc else "the target closed its connection")
-        self.gate.resume()
+        """Fail the answer that is being received."""
+        self._end(f"connection lost: {exc}" if exc else "the target closed its connection")
+        self.flow_control.resume()
 
     def eof_received(self) -> bool:
-        """End an answer that has no other end."""
-        if self._reading is not None and self._reading.until_end:
-            self._reading.end()
-            self._reading = None
+        """Complete an answer whose end is marked by the end of the connection only."""
+        if self._receiving is not None and self._receiving.ends_at_close:
+            self._receiving.end()
+            self._receiving = None
         return False
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came; bytes that nobody waits for end the connection."""
-        if self.over:
+        """Parse received bytes; close an idle connection on which bytes arrive."""
+        if self.closed:
             return
         if not self.busy:
             self.abort()
@@ -120,114 +155,128 @@
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self._end(f"no HTTP answer: {error}")
+            self._end(f"invalid HTTP answer: {error}")
             self.abort()
 
-    def _end(self, fault: str) -> None:
-        self._fault = self._fault or fault
-        self.over = True
-        if self._reading is not None:
-            self._reading.end(self._fault)
-            self._reading = None
-        self._news.set()
+    def _end(self, reason: str) -> None:
+        self._error = self._error or reason
+        self.closed = True
+        if self._receiving is not None:
+            self._receiving.end(self._error)
+            self._receiving = None
+        self._changed.set()
 
-    # -- from the parser
+    # Called by the parser
 
     def on_message_begin(self) -> None:
-        """Begin an answer."""
-        self._begun = Incoming(self)
+        """Start to parse an answer."""
+        self._parsing = IncomingAnswer(self)
 
     def on_status(self, status: bytes) -> None:
-        """Take the phrase."""
-        self._begun.phrase += status.decode("latin-1")
+        """Add a part of the reason phrase."""
+        self._parsing.phrase += status.decode("latin-1")
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take one header."""
-        if len(self._begun.headers) < _HEADERS_MAX:
+        """Add a header; those beyond the maximum number are ignored."""
+        if len(self._parsing.headers) < _MAX_HEADERS:
             header = Header(name.decode("latin-1"), value.decode("latin-1"))
-            self._begun.headers.append(header)
+            self._parsing.headers.append(header)
 
     def on_headers_complete(self) -> None:
-        """Hand the head to whoever waits for it."""
-        incoming = self._begun
+        """Pass the answer to :meth:`next_answer`, unless it is an interim one (1xx)."""
+        incoming = self._parsing
         incoming.status = self._parser.get_status_code()
         if incoming.status < 200:
-            self._reading = None
+            self._receiving = None
             return
-        length = find(incoming.headers, "content-length")
-        chunked = find(incoming.headers, "transfer-encoding") is not None
+        length = find_header(incoming.headers, "content-length")
+        chunked = find_header(incoming.headers, "transfer-encoding") is not None
         incoming.length = None if chunked or length is None else int(length)
         bodiless = incoming.status in (204, 304)
-        incoming.until_end = not chunked and length is None and not bodiless
+        incoming.ends_at_close = not chunked and length is None and not bodiless
         self._read_keep_alive(incoming)
-        self._heads.append(incoming)
-        self._reading = incoming
+        self._answers.append(incoming)
+        self._receiving = incoming
         if self.head_only:
-            self.spoiled = True
+            self.not_reusable = True
             incoming.end()
-            self._reading = None
-        self._news.set()
-
-    def _read_keep_alive(self, incoming: Incoming) -> None:
-        if incoming.until_end or not self._parser.should_keep_alive():
-            self.spoiled = True
-        stated = find(incoming.headers, "keep-alive") or ""
-        for token in stated.split(","):
+            self._receiving = None
+        self._changed.set()
+
+    def _read_keep_alive(self, incoming: IncomingAnswer) -> None:
+        if incoming.ends_at_close or not self._parser.should_keep_alive():
+            self.not_reusable = True
+        keep_alive = find_header(incoming.headers, "keep-alive") or ""
+        for token in keep_alive.split(","):
             name, _, value = token.strip().partition("=")
             if name.lower() == "timeout" and value.isascii() and value.isdigit():
-                self._keep_s = min(IDLE_MOST_S, max(0.0, int(value) - _IDLE_MARGIN_S))
+                self._max_idle = min(MAX_IDLE_S, max(0.0, int(value) - _IDLE_MARGIN_S))
 
     def on_body(self, body: bytes) -> None:
-        """Hand a part of the body on."""
-        if self._reading is not None:
-            self._reading.feed(body)
+        """Add a part of the body to its answer."""
+        if self._receiving is not None:
+            self._receiving.feed(body)
 
     def on_message_complete(self) -> None:
-        """End the answer."""
-        if self._reading is not None:
-            self._reading.end()
-            self._reading = None
+        """Mark the answer as completely received."""
+        if self._receiving is not None:
+            self._receiving.end()
+            self._receiving = None
 
-    # -- for attempts
+    # Called by the client and the pool
 
-    async def next_answer(self) -> Incoming:
-        """Return the next answer whose head has come.
+    async def next_answer(self) -> IncomingAnswer:
+        """Wait for the next answer; return it once its head has been received.
 
         Raises
         ------
         LinkBrokenError
+            If the connection ends first.
         """
-        while not self._heads:
-            if self.over:
-                raise LinkBrokenError(self._fault)
-            self._news.clear()
-            await self._news.wait()
-        return self._heads.popleft()
+        while not self._answers:
+            if self.closed:
+                raise LinkBrokenError(self._error)
+            self._changed.clear()
+            await self._changed.wait()
+        return self._answers.popleft()
 
     def abort(self) -> None:
-        """Close at once, so that the target drops what it works on."""
-        self.over = True
+        """Close the connection at once, so that the target stops its work."""
+        self.closed = True
         if self._transport is not None:
             self._transport.abort()
 
     def close(self) -> None:
-        """Close."""
-        self.over = True
+        """Close the connection after the written bytes have been sent."""
+        self.closed = True
         if self._transport is not None:
             self._transport.close()
 
-    def rest(self, now: Seconds) -> bool:
-        """Become idle; return False if the connection can't be used again."""
-        if self.over or self.spoiled or self._reading is not None or self._heads:
+    def mark_idle(self, now: Seconds) -> bool:
+        """Mark the connection as idle; return False if it can't be reused."""
+        if self.closed or self.not_reusable or self._receiving is not None or self._answers:
             return False
         self.busy = False
-        self._rested_at = now
-        self.idle_until = now + self._keep_s
+        self._idle_since = now
+        self.idle_until = now + self._max_idle
         return True
 
-    def take(self, now: Seconds, *, rested_most: Seconds) -> bool:
-        """Become busy again; return False if the connection has rested too long."""
-        if self.over or now >= self.idle_until or now - self._rested_at > rested_most:
+    def reuse(self, now: Seconds, *, max_idle: Seconds) -> bool:
+        """Mark an idle connection as busy.
+
+        Parameters
+        ----------
+        now : float
+            Monotonic seconds.
+        max_idle : float
+            Seconds that the connection may have been idle.
+
+        Returns
+        -------
+        bool
+            False if the connection is closed or has been idle for too long.
+        """
+        if self.closed or now >= self.idle_until or now - self._idle_since > max_idle:
             return False
         self.busy = True
         self.used += 1
