--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -129,7 +129,7 @@
     """Return what a box knows of ``count`` others."""
     own = replace(rows(1)[0], name="own")
     known = Membership(own, holder=SettingsHolder(), clock=lambda: 0.0)
-    known.take(Sync("x", 1, 0, None, rows(count)), LinkState())
+    known.apply(Sync("x", 1, 0, None, rows(count)), LinkState())
     return known
 
 
@@ -298,8 +298,8 @@
     graph: dict[str, set[str]] = {row.name: set() for row in known}
     for row in known:
         members = Membership(row, holder=SettingsHolder(), clock=lambda: 0.0)
-        members.take(Sync("x", 1, 0, None, known), LinkState())
-        for name in members.links(LINKS, []):
+        members.apply(Sync("x", 1, 0, None, known), LinkState())
+        for name in members.select_links(LINKS, []):
             graph[row.name].add(name)
             graph[name].add(row.name)
     return graph
--- a/benchmarks/steering.py
+++ b/benchmarks/steering.py
@@ -97,7 +97,7 @@
             for name, row in self.rows.items():
                 self.rows[name] = replace(row, seq=row.seq + 1, in_flight=round(loads[name]))
             rows = tuple(self.rows.values())
-            self._membership.take(Sync("box-0", 1, 1, 0.0, rows), self._link)
+            self._membership.apply(Sync("box-0", 1, 1, 0.0, rows), self._link)
             for caller in self.callers:
                 if caller.until <= self.now:
                     self._ask(caller)
--- a/dunlinnotch/coordination/core.py
+++ b/dunlinnotch/coordination/core.py
@@ -133,7 +133,7 @@
             platform,
             self.holder,
             self.follower,
-            missing=self.membership.missing,
+            missing=self.membership.unconfirmed_boxes,
             wait=self.membership.wait_confirmed,
         )
         self.gate = WorkGate(self.membership, self.holder, clock=clock)
@@ -192,8 +192,8 @@
         """
         moved = self.follower.poll()
         if self.follower.read_at is not None:
-            self.membership.table_read(self.follower.read_at)
-        self.membership.take_list(self._platform.list_boxes())
+            self.membership.record_table_read(self.follower.read_at)
+        self.membership.apply_listing(self._platform.list_boxes())
         return moved
 
     def is_reader(self) -> bool:
--- a/dunlinnotch/coordination/membership/rows.py
+++ b/dunlinnotch/coordination/membership/rows.py
@@ -116,7 +116,7 @@
             self._changed.notify_all()
             return self._own
 
-    def turn(self, link: LinkState) -> Sync:
+    def next_sync(self, link: LinkState) -> Sync:
         """Return what the peer on ``link`` may not know yet."""
         with self._changed:
             rows = tuple(r for r in self._all_rows() if r.recency > link.rows.get(r.name, (0, 0)))
@@ -134,7 +134,7 @@
                 tree=tree if whole else None,
             )
 
-    def take(self, sync: Sync, link: LinkState) -> None:
+    def apply(self, sync: Sync, link: LinkState) -> None:
         """Take in what a peer sent."""
         link.version = sync.version
         if sync.tree is not None:
@@ -148,13 +148,13 @@
                 self._take_row(row, now)
             self._changed.notify_all()
 
-    def take_list(self, boxes: Iterable[ListedBox]) -> None:
+    def apply_listing(self, boxes: Iterable[ListedBox]) -> None:
         """Take in the platform's list of boxes, which lags."""
         with self._changed:
             self._listed = {box.name: box for box in boxes}
             self._forget()
 
-    def table_read(self, at: Seconds) -> None:
+    def record_table_read(self, at: Seconds) -> None:
         """Note that the table answered a question asked at ``at``."""
         with self._changed:
             self._table_read_at = at
@@ -176,7 +176,7 @@
             heard = [k.row for k in self._known.values() if now - k.heard_at <= self.suspect_s]
             return [row for row in (self._own, *heard) if row.state is not RunState.STOPPED]
 
-    def missing(self, version: Version) -> tuple[str, ...]:
+    def unconfirmed_boxes(self, version: Version) -> tuple[str, ...]:
         """Return the boxes that may serve and have not confirmed ``version``.
 
         Notes
@@ -197,11 +197,11 @@
             return tuple(sorted(behind | unheard))
 
     def wait_confirmed(self, version: Version, timeout: Seconds) -> bool:
-        """Wait until no box is :meth:`missing` the version."""
+        """Wait until no box is :meth:`unconfirmed_boxes` for the version."""
         with self._changed:
-            return self._changed.wait_for(lambda: not self.missing(version), timeout)
+            return self._changed.wait_for(lambda: not self.unconfirmed_boxes(version), timeout)
 
-    def links(self, count: int, seeds: Iterable[Address]) -> dict[str, Address]:
+    def select_links(self, count: int, seeds: Iterable[Address]) -> dict[str, Address]:
         """Return the peers to connect to, by name (an address for a seed).
 
         Parameters
--- a/dunlinnotch/protocol/peers.py
+++ b/dunlinnotch/protocol/peers.py
@@ -68,11 +68,11 @@
 class PeerExchange(Protocol):
     """What a link needs of the box's knowledge of its peers."""
 
-    def turn(self, link: LinkState) -> Sync:
+    def next_sync(self, link: LinkState) -> Sync:
         """Return what the peer on ``link`` may not know yet."""
 
-    def take(self, sync: Sync, link: LinkState) -> None:
+    def apply(self, sync: Sync, link: LinkState) -> None:
         """Take in what a peer sent."""
 
-    def links(self, count: int, seeds: Iterable[Address]) -> dict[str, Address]:
+    def select_links(self, count: int, seeds: Iterable[Address]) -> dict[str, Address]:
         """Return the peers to connect to, by name."""
--- a/dunlinnotch/transport/peers.py
+++ b/dunlinnotch/transport/peers.py
@@ -122,8 +122,8 @@
         try:
             stream = _Stream(sock)
             while (sync := stream.receive()) is not None:
-                self._membership.take(sync, link)
-                self.sent_bytes += stream.send(self._membership.turn(link))
+                self._membership.apply(sync, link)
+                self.sent_bytes += stream.send(self._membership.next_sync(link))
         except OSError as error:
             event(_log, "link-ended", level=logging.DEBUG, detail=str(error))
         except DunlinnotchError as error:
@@ -188,7 +188,7 @@
 
     def _keep(self) -> None:
         while not self._stopped.is_set():
-            wanted = self._membership.links(self._count, self._seeds)
+            wanted = self._membership.select_links(self._count, self._seeds)
             for name in [n for n in self._links if n not in wanted]:
                 self._links.pop(name).close()
             for name, address in wanted.items():
@@ -203,14 +203,14 @@
 
     def take_turn(self, stream: _Stream, state: LinkState) -> bool:
         """Send and receive once; return whether the peer is still there."""
-        size = stream.send(self._membership.turn(state))
+        size = stream.send(self._membership.next_sync(state))
         self.sent_bytes += size
         if self._on_traffic is not None:
             self._on_traffic(size)
         answer = stream.receive()
         if answer is None:
             return False
-        self._membership.take(answer, state)
+        self._membership.apply(answer, state)
         return True
 
     @property
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -457,7 +457,7 @@
         _anybodys_key,
     ),
     Mutant("say not run of an earlier copy", once.OnceGuard, "may_have_run", _never_ran_before),
-    Mutant("accept without the silent boxes", Membership, "missing", _own_word_only),
+    Mutant("accept without the silent boxes", Membership, "unconfirmed_boxes", _own_word_only),
     Mutant(
         "serve while cut off",
         WorkGate,
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -24,8 +24,8 @@
     def meet(self, other):
         """Take one turn of the link to another box, both ways."""
         ours, theirs = self.links.setdefault(other, (LinkState(), LinkState()))
-        other.members.take(self.members.turn(ours), theirs)
-        self.members.take(other.members.turn(theirs), ours)
+        other.members.apply(self.members.next_sync(ours), theirs)
+        self.members.apply(other.members.next_sync(theirs), ours)
 
     def edit(self, version):
         change = Change("/", "rank", str(version % 10))
@@ -54,21 +54,21 @@
     b.meet(c)
     assert names(c) == ["a", "b", "c"]
     assert c.holder.version == 1
-    assert a.members.missing(1) == ("b",)
+    assert a.members.unconfirmed_boxes(1) == ("b",)
     b.members.refresh_own()
     c.members.refresh_own()
     b.meet(c)
     a.meet(b)
-    assert a.members.missing(1) == ()
+    assert a.members.unconfirmed_boxes(1) == ()
 
 
 def test_only_what_is_new_is_sent(three):
     a, b, _ = three
     a.meet(b)
     a.meet(b)
-    assert a.members.turn(a.links[b][0]).rows == ()
+    assert a.members.next_sync(a.links[b][0]).rows == ()
     a.members.refresh_own()
-    assert [row.name for row in a.members.turn(a.links[b][0]).rows] == ["a"]
+    assert [row.name for row in a.members.next_sync(a.links[b][0]).rows] == ["a"]
 
 
 def test_box_far_behind_gets_the_whole_tree(three):
@@ -85,29 +85,29 @@
     peer = Peer("a", clock)
     newer = box_row("z", incarnation=2, seq=5, in_flight=7)
     for row in (newer, replace(newer, in_flight=1, **older)):
-        peer.members.take(Sync("z", 2, 0, None, (row,)), LinkState())
+        peer.members.apply(Sync("z", 2, 0, None, (row,)), LinkState())
     assert [row.in_flight for row in peer.members.rows() if row.name == "z"] == [7]
 
 
 def test_silent_box_is_not_offered_but_still_counts_until_it_is_unlisted(clock, three):
     a, b, _ = three
-    a.members.take_list([ListedBox("b", "127.0.0.1:1")])
+    a.members.apply_listing([ListedBox("b", "127.0.0.1:1")])
     a.meet(b)
     a.edit(1)
     clock.advance(5.0)
     assert names(a) == ["a"]
-    assert a.members.missing(1) == ("b",)
+    assert a.members.unconfirmed_boxes(1) == ("b",)
     clock.advance(60.0)
-    assert a.members.missing(1) == ("b",)
-    a.members.take_list([])
-    assert a.members.missing(1) == ()
+    assert a.members.unconfirmed_boxes(1) == ("b",)
+    a.members.apply_listing([])
+    assert a.members.unconfirmed_boxes(1) == ()
 
 
 def test_listed_box_that_was_never_heard_counts_as_missing(clock):
     peer = Peer("a", clock)
-    peer.members.take_list([ListedBox("ghost", "127.0.0.1:1")])
+    peer.members.apply_listing([ListedBox("ghost", "127.0.0.1:1")])
     peer.edit(1)
-    assert peer.members.missing(1) == ("ghost",)
+    assert peer.members.unconfirmed_boxes(1) == ("ghost",)
 
 
 def test_box_that_stopped_is_waited_for_no_longer(three):
@@ -117,17 +117,17 @@
     b.members.refresh_own(state=RunState.STOPPED)
     a.meet(b)
     assert "b" not in names(a)
-    assert a.members.missing(1) == ()
+    assert a.members.unconfirmed_boxes(1) == ()
 
 
 def test_process_replaced_by_a_newer_one_of_its_name_takes_no_more_work(clock):
     old = Peer("a", clock)
     gate = WorkGate(old.members, old.holder, clock=clock)
     old.edit(1)
-    old.members.table_read(clock())
+    old.members.record_table_read(clock())
     assert gate.refusal() is None
     row = box_row("a", incarnation=2)
-    old.members.take(Sync("z", 1, 1, None, (row,)), LinkState())
+    old.members.apply(Sync("z", 1, 1, None, (row,)), LinkState())
     assert gate.refusal().reason is Reason.BOX_DRAINED
 
 
@@ -149,8 +149,8 @@
     rows = tuple(peer.members.own for peer in peers)
     graph = {}
     for peer in peers:
-        peer.members.take(Sync("x", 1, 0, None, rows), LinkState())
-        links = peer.members.links(4, [])
+        peer.members.apply(Sync("x", 1, 0, None, rows), LinkState())
+        links = peer.members.select_links(4, [])
         assert len(links) == 4
         places = {row.place for row in rows if row.name in links}
         assert places - {peer.members.own.place}
@@ -165,4 +165,4 @@
 
 def test_seeds_are_used_while_nobody_is_known(clock):
     peer = Peer("a", clock)
-    assert peer.members.links(4, ["127.0.0.1:5"]) == {"127.0.0.1:5": "127.0.0.1:5"}
+    assert peer.members.select_links(4, ["127.0.0.1:5"]) == {"127.0.0.1:5": "127.0.0.1:5"}
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -59,7 +59,7 @@
         sock.sendall(data)
         assert sock.recv(65536) == b""
     with socket.create_connection(("127.0.0.1", server.port), 5.0) as sock:
-        sock.sendall(_codec.pack(members("c").turn(LinkState())))
+        sock.sendall(_codec.pack(members("c").next_sync(LinkState())))
         assert sock.recv(65536)
     assert crashed == []
     assert {row.name for row in known.rows()} == {"a", "c"}
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -16,7 +16,7 @@
     clock = FakeClock()
     own = box_row("own", state=RunState.DRAINING)
     members = Membership(own, holder=SettingsHolder(), clock=clock)
-    members.take(Sync("x", 1, 0, None, tuple(rows)), LinkState())
+    members.apply(Sync("x", 1, 0, None, tuple(rows)), LinkState())
     steering = Steering(members, rng=random.Random(1))
     return steering.answer(tree or SettingsTree(), caller=caller, place=place)
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -357,9 +357,9 @@
         ours, theirs = self.links.setdefault((one, other), (LinkState(), LinkState()))
         left, right = self.boxes[one].membership, self.boxes[other].membership
         if other not in self.deaf:
-            right.take(left.turn(ours), theirs)
+            right.apply(left.next_sync(ours), theirs)
         if one not in self.deaf:
-            left.take(right.turn(theirs), ours)
+            left.apply(right.next_sync(theirs), ours)
 
     def list_boxes(self):
         self.store.set_boxes(tuple(ListedBox(name, name) for name in self.boxes))
