--- a/dunlinnotch/transport/peers.py
+++ b/dunlinnotch/transport/peers.py
@@ -134,8 +134,8 @@
         try:
             stream = _Stream(sock)
             while (sync := stream.receive()) is not None:
-                self._membership.take(sync, link)
-                self.sent_bytes += stream.send(self._membership.turn(link))
+                self._membership.apply(sync, link)
+                self.sent_bytes += stream.send(self._membership.next_sync(link))
         except OSError as error:
             event(_log, "link-ended", level=logging.DEBUG, detail=str(error))
         except DunlinnotchError as error:
@@ -205,7 +205,7 @@
 
     def _maintain_links(self) -> None:
         while not self._stopped.is_set():
-            peers = self._membership.links(self._max_links, self._seeds)
+            peers = self._membership.select_links(self._max_links, self._seeds)
             for name in [n for n in self._links if n not in peers]:
                 self._links.pop(name).close()
             for name, address in peers.items():
@@ -220,14 +220,14 @@
 
     def run_sync_round(self, stream: _Stream, state: LinkState) -> bool:
         """Send a message and apply the answer; return False if the peer closed the link."""
-        message_bytes = stream.send(self._membership.turn(state))
+        message_bytes = stream.send(self._membership.next_sync(state))
         self.sent_bytes += message_bytes
         if self._on_traffic is not None:
             self._on_traffic(message_bytes)
         answer = stream.receive()
         if answer is None:
             return False
-        self._membership.take(answer, state)
+        self._membership.apply(answer, state)
         return True
 
     @property
