--- a/dunlinnotch/coordination/membership/mesh.py
+++ b/dunlinnotch/coordination/membership/mesh.py
@@ -15,7 +15,7 @@
 
 from dunlinnotch._logs import event
 from dunlinnotch.coordination.choosing.subset import highest
-from dunlinnotch.coordination.membership.links import Links
+from dunlinnotch.coordination.membership.peer_selector import PeerSelector
 from dunlinnotch.protocol.mesh import Heartbeat, TableState
 
 if TYPE_CHECKING:
@@ -90,7 +90,7 @@
         self._heard: dict[str, _Heard] = {}
         self._known: Counter[str] = Counter()
         self._place_boxes: dict[str, int] = {place: 1}
-        self._links = Links(name, place, rng=rng)
+        self._peers = PeerSelector(name, place, rng=rng)
         self._patient_until = clock() + rng.uniform(*START_PATIENCE_S)
 
     def own_heartbeat(self, *, reply_requested: bool = False) -> Heartbeat:
@@ -227,7 +227,7 @@
     def log_silent(self) -> None:
         """Log, once each, the boxes that are heard all the time and are now silent."""
         now = self._clock()
-        for word in self._links.near(self.heartbeats()):
+        for word in self._peers.local(self.heartbeats()):
             heard = self._heard[word.name]
             if not heard.silent and now - heard.at > SUSPECT_S:
                 heard.silent = True
@@ -236,11 +236,11 @@
 
     def heartbeat_peers(self) -> list[Address]:
         """Return the peers that are to hear this box's word at each turn."""
-        return [word.peer for word in self._links.near(self.heartbeats())]
+        return [word.peer for word in self._peers.local(self.heartbeats())]
 
     def remote_peers(self) -> list[Address]:
         """Return a few peers of other places, where there are too many boxes to tell all."""
-        far = self._links.far(self.heartbeats(), follows=self.is_follower())
+        far = self._peers.remote(self.heartbeats(), follows=self.is_follower())
         return [word.peer for word in far]
 
     def local_follower(self) -> list[Heartbeat]:
@@ -254,12 +254,12 @@
 
     def update_peers(self) -> list[Address]:
         """Return the peers that are to hear at once of news of a table; they pass it on."""
-        return [word.peer for word in self._links.news(self.heartbeats())]
+        return [word.peer for word in self._peers.update_targets(self.heartbeats())]
 
     def introductions(self, place: str) -> list[Heartbeat]:
         """Return the words that a new box of a place needs to find its peers, aged until now."""
         now = self._clock()
-        chosen = self._links.introduced(place, self.live())
+        chosen = self._peers.introductions(place, self.live())
         return [word.aged(now - self._heard[word.name].at) for word in chosen]
 
     def live(self) -> list[Heartbeat]:
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -22,9 +22,9 @@
 from dunlinnotch.coordination.choosing.saturation import Saturation
 from dunlinnotch.coordination.choosing.work_times import WorkTimes
 from dunlinnotch.coordination.membership.crash_gossip import CrashGossip
-from dunlinnotch.coordination.membership.links import Links
 from dunlinnotch.coordination.membership.mesh import STALE_S, Mesh
 from dunlinnotch.coordination.membership.pause_detector import PauseDetector
+from dunlinnotch.coordination.membership.peer_selector import PeerSelector
 from dunlinnotch.coordination.membership.rows import Membership
 from dunlinnotch.coordination.requests import once
 from dunlinnotch.coordination.requests.crash_guard import CrashGuard
@@ -317,7 +317,7 @@
 
 ENTRY, SHARES = "tests/test_entry.py", "tests/test_shares.py"
 CRASHING, CRASH_GOSSIP = "tests/test_crashing.py", "tests/test_crash_gossip.py"
-LINKS, ASKING = "tests/test_links.py", "tests/test_asking.py"
+PEER_SELECTOR, ASKING = "tests/test_peer_selector.py", "tests/test_asking.py"
 REST, LEAVING = "tests/test_rest.py", "tests/test_leaving_words.py"
 
 MUTANTS = (
@@ -381,9 +381,9 @@
     Mutant("probe without a budget", ProbeShare, "take", _spend_freely, SHARES),
     Mutant("repeat without a budget", RepeatShare, "take", _spend_freely, SHARES),
     Mutant("leave the store to others", Mesh, "is_reader", _nobody_reads, "tests/test_mesh.py"),
-    Mutant("tell no other place", Links, "far", _tell_nobody_far, LINKS),
-    Mutant("take a word told on for a new one", Heartbeat, "aged", _told_on_as_new, LINKS),
-    Mutant("count the boxes of the own place", Mesh, "_count", _count_own_place, LINKS),
+    Mutant("tell no other place", PeerSelector, "remote", _tell_nobody_far, PEER_SELECTOR),
+    Mutant("take a word told on for a new one", Heartbeat, "aged", _told_on_as_new, PEER_SELECTOR),
+    Mutant("count the boxes of the own place", Mesh, "_count", _count_own_place, PEER_SELECTOR),
     Mutant("all read the store at the start", Mesh, "stale", _impatient, "tests/test_mesh.py"),
     Mutant(
         "trust a call that hangs",
@@ -426,7 +426,7 @@
         property(_ready_while_stopping),
         ENTRY,
     ),
-    Mutant("all follow what nobody can read", Mesh, "is_follower", _all_are_first, LINKS),
+    Mutant("all follow what nobody can read", Mesh, "is_follower", _all_are_first, PEER_SELECTOR),
     Mutant("retry a loan after it was sent", Router, "_may_retry", _retry_anything),
     Mutant("say not run of a broken attempt", Router, "_not_answered", _say_not_run),
     Mutant(
