--- a/dunlinnotch/coordination/membership/mesh.py
+++ b/dunlinnotch/coordination/membership/mesh.py
@@ -1,9 +1,8 @@
-"""Which boxes there are, who of them reads the store, and how fresh each knows its tables.
+"""Membership of boxes: which are live, which read the store, and how fresh their tables are.
 
-Each box sends its word to the others a few times a second, and at once when
-something changed.  A few boxes, one in each place, follow the store; the
-others fetch what is new from whoever has it.  Every box knows how old its
-knowledge is, and reads for itself when nobody it hears knows better.
+Each box sends heartbeats to its peers a few times a second, and at once after a
+change.  One box of each place follows the store; the others fetch updates from a
+peer that has them.  A box whose tables are stale reads the store itself.
 """
 
 from __future__ import annotations
@@ -26,41 +25,54 @@
     from dunlinnotch.types import Address, Clock, Seconds
 
 STARTING, RUNNING, DRAINING = "starting", "running", "draining"
-#: Silence after which a box is not offered to callers nor counted on, in seconds.
+#: Time without a heartbeat after which a box counts as failed, in seconds.
 SUSPECT_S = 1.7
-#: Silence after which a box is forgotten, in seconds.
+#: Time without a heartbeat after which a box is forgotten, in seconds.
 FORGET_S = 60.0
-#: Silence up to which a suspect is offered if nobody else is left, in seconds.
+#: Time without a heartbeat up to which a suspected box is offered to callers if no box is
+#: live, in seconds.
 _LAST_RESORT_S = 20.0
-#: A table older than this, as far as a box can tell, is read by the box itself, in seconds.
+#: Age of a table above which a box reads the store itself, in seconds.
 STALE_S = 2.2
-#: Shortest and longest time for which a new box leaves it to the readers of its place to
-#: tell it the tables, in seconds: boxes that start together must not all read the store.
-START_PATIENCE_S = (0.6, 1.2)
+#: Range of the random delay before a new box reads the store itself, in seconds: boxes that
+#: start together must not all read it.
+START_DELAY_RANGE_S = (0.6, 1.2)
 
 _log = logging.getLogger(__name__)
 
 
 @dataclass(slots=True)
-class _Heard:
-    word: Heartbeat
+class _Received:
+    heartbeat: Heartbeat
     at: Seconds
     silent: bool = False
 
 
 class Mesh:
-    """What this box knows of the others.
+    """View of all boxes at one of them.
 
     Parameters
     ----------
     name, place : str
     incarnation : int
+        Number of this start of the box; larger for a later start.
     caller, peer : str
-        This box's own addresses.
+        Addresses at which this box serves callers and peers.
     tables : iterable of FollowedTable
     clock : callable
+        Returns monotonic seconds.
     rng : random.Random
-        Draws whom to tell.
+
+    Attributes
+    ----------
+    state : str
+        State of this box: ``starting``, ``running`` or ``draining``.
+    reading : bool
+        Whether this box's reads of the store succeed.
+    in_flight : int
+        Requests in flight at this box.
+    crash_digest : int or None
+        Digest of this box's crash records; ``None`` until it has those of its peers.
     """
 
     def __init__(
@@ -87,14 +99,14 @@
         self._tables = {table.name: table for table in tables}
         self._clock = clock
         self._seq = 0
-        self._heard: dict[str, _Heard] = {}
-        self._known: Counter[str] = Counter()
-        self._place_boxes: dict[str, int] = {place: 1}
+        self._received: dict[str, _Received] = {}
+        self._known_counts: Counter[str] = Counter()
+        self._box_counts: dict[str, int] = {place: 1}
         self._peers = PeerSelector(name, place, rng=rng)
-        self._patient_until = clock() + rng.uniform(*START_PATIENCE_S)
+        self._start_delay_until = clock() + rng.uniform(*START_DELAY_RANGE_S)
 
     def own_heartbeat(self, *, reply_requested: bool = False) -> Heartbeat:
-        """Return a new word of this box."""
+        """Return a new heartbeat of this box."""
         self._seq += 1
         now = self._clock()
         tables = {
@@ -117,218 +129,250 @@
             reading=self.reading,
             follows=self.is_follower(),
             in_flight=self.in_flight,
-            box_counts=dict(self._place_boxes),
+            box_counts=dict(self._box_counts),
             tables=tables,
             reply_requested=reply_requested,
             crash_digest=self.crash_digest,
         )
 
-    def receive(self, word: Heartbeat) -> bool:
-        """Take in a word; return False if it is old or this box's own."""
-        if word.name == self.name:
-            self._outgrow(word)
+    def receive(self, heartbeat: Heartbeat) -> bool:
+        """Record a heartbeat; return False if it is outdated or this box's own."""
+        if heartbeat.name == self.name:
+            self._renumber_start(heartbeat)
             return False
         now = self._clock()
-        known = self._heard.get(word.name)
-        if known is not None and word.recency <= known.word.recency:
+        previous = self._received.get(heartbeat.name)
+        if previous is not None and heartbeat.recency <= previous.heartbeat.recency:
             return False
-        if known is None or self._differs(known.word, word):
+        if previous is None or self._has_changed(previous.heartbeat, heartbeat):
             event(
                 _log,
                 "box",
-                box=word.name,
-                state=word.state,
-                place=word.place,
-                incarnation=word.incarnation,
-                reading=word.reading,
-                before=None if known is None else known.word.state,
+                box=heartbeat.name,
+                state=heartbeat.state,
+                place=heartbeat.place,
+                incarnation=heartbeat.incarnation,
+                reading=heartbeat.reading,
+                before=None if previous is None else previous.heartbeat.state,
             )
-        if known is not None and known.silent:
-            event(_log, "box-heard-again", box=word.name, silent_s=round(now - known.at, 2))
-        self._known[word.place] += known is None
-        self._heard[word.name] = _Heard(word, now)
-        self._count(word)
-        self._verify_by(word, now)
+        if previous is not None and previous.silent:
+            event(_log, "box-heard-again", box=heartbeat.name, silent_s=round(now - previous.at, 2))
+        self._known_counts[heartbeat.place] += previous is None
+        self._received[heartbeat.name] = _Received(heartbeat, now)
+        self._update_box_counts(heartbeat)
+        self._apply_verified(heartbeat, now)
         return True
 
-    def newer_incarnation(self, word: Heartbeat) -> Heartbeat | None:
-        """Return the word of a later start of a box than the one that sent a word, if known."""
-        known = self._heard.get(word.name)
-        if known is None or known.word.incarnation <= word.incarnation:
+    def newer_incarnation(self, heartbeat: Heartbeat) -> Heartbeat | None:
+        """Return the heartbeat of a later start of the sending box, or None if none is known."""
+        previous = self._received.get(heartbeat.name)
+        if previous is None or previous.heartbeat.incarnation <= heartbeat.incarnation:
             return None
-        return known.word
+        return previous.heartbeat
 
-    def _outgrow(self, word: Heartbeat) -> None:
-        """Count this start after one that peers take for a later one.
+    def _renumber_start(self, heartbeat: Heartbeat) -> None:
+        """Raise this box's incarnation above one that peers hold for a later start.
 
         Notes
         -----
-        Starts are numbered by the time of day, which may have gone back meanwhile; peers
-        would take in nothing of this box until they forget the start before.
+        Incarnations come from the wall clock, which may have been set back.  Peers would
+        drop all heartbeats of this box until they forget its previous start.
         """
-        if word.incarnation > self._incarnation:
-            event(_log, "start-renumbered", before=self._incarnation, known=word.incarnation)
-            self._incarnation = word.incarnation + 1
+        if heartbeat.incarnation > self._incarnation:
+            event(_log, "start-renumbered", before=self._incarnation, known=heartbeat.incarnation)
+            self._incarnation = heartbeat.incarnation + 1
 
     @property
     def max_boxes(self) -> int:
-        """The most boxes that there may be, over all places."""
-        return sum(self._place_boxes.values())
+        """Largest number of boxes that any box has known at once, over all places."""
+        return sum(self._box_counts.values())
 
-    def _count(self, word: Heartbeat) -> None:
-        """Note how many boxes the places have: as many as are known, or as anybody tells."""
-        known = self._known[word.place] + (word.place == self.place)
-        for place, boxes in {**word.box_counts, word.place: known}.items():
-            told = max(boxes, word.box_counts.get(place, 0))
-            self._place_boxes[place] = max(told, self._place_boxes.get(place, 0))
+    def _update_box_counts(self, heartbeat: Heartbeat) -> None:
+        """Raise the number of boxes of each place to the largest known or reported."""
+        known = self._known_counts[heartbeat.place] + (heartbeat.place == self.place)
+        for place, boxes in {**heartbeat.box_counts, heartbeat.place: known}.items():
+            reported = max(boxes, heartbeat.box_counts.get(place, 0))
+            self._box_counts[place] = max(reported, self._box_counts.get(place, 0))
 
     @staticmethod
-    def _differs(old: Heartbeat, new: Heartbeat) -> bool:
+    def _has_changed(old: Heartbeat, new: Heartbeat) -> bool:
         return (old.state, old.incarnation, old.reading) != (
             new.state,
             new.incarnation,
             new.reading,
         )
 
-    def _verify_by(self, word: Heartbeat, now: Seconds) -> None:
-        """Take over how fresh the sender's tables are where ours are as new."""
-        for name, state in word.tables.items():
+    def _apply_verified(self, heartbeat: Heartbeat, now: Seconds) -> None:
+        """Mark tables as verified that the sender has verified at the same version."""
+        for name, state in heartbeat.tables.items():
             table = self._tables.get(name)
             if table is None or not table.known or state.age_ms < 0:
                 continue
             at = now - state.age_ms / 1000
             table.take_same(state.changed, state.version, at=at, era=state.era)
 
-    def newer_tables(self, word: Heartbeat) -> list[str]:
-        """Return the tables that the sender of a word knows further than this box."""
-        found = []
-        for name, state in word.tables.items():
+    def newer_tables(self, heartbeat: Heartbeat) -> list[str]:
+        """Return the names of tables of which the sender has a newer version."""
+        newer = []
+        for name, state in heartbeat.tables.items():
             table = self._tables.get(name)
             if table is None or state.age_ms < 0:
                 continue
             if (state.era, state.changed) > (table.era, table.version) or not table.known:
-                found.append(name)
-        return found
+                newer.append(name)
+        return newer
 
     def is_known(self, name: str) -> bool:
-        """Return whether a box has been heard and not forgotten."""
-        return name in self._heard
+        """Return whether a box has sent a heartbeat and has not been forgotten."""
+        return name in self._received
 
     def heartbeats(self) -> list[Heartbeat]:
-        """Return the last words of all boxes not forgotten."""
+        """Forget boxes silent for ``FORGET_S``; return the latest heartbeat of all others."""
         now = self._clock()
-        gone = [name for name, heard in self._heard.items() if now - heard.at > FORGET_S]
+        gone = [name for name, received in self._received.items() if now - received.at > FORGET_S]
         for name in gone:
-            place = self._heard.pop(name).word.place
-            self._known[place] -= 1
+            place = self._received.pop(name).heartbeat.place
+            self._known_counts[place] -= 1
             event(_log, "box-forgotten", box=name)
-        return [heard.word for heard in self._heard.values()]
+        return [received.heartbeat for received in self._received.values()]
 
     def log_silent(self) -> None:
-        """Log, once each, the boxes that are heard all the time and are now silent."""
+        """Log each box that stopped sending heartbeats to this one, once."""
         now = self._clock()
-        for word in self._peers.local(self.heartbeats()):
-            heard = self._heard[word.name]
-            if not heard.silent and now - heard.at > SUSPECT_S:
-                heard.silent = True
-                silent_s = round(now - heard.at, 2)
-                event(_log, "box-silent", box=word.name, place=word.place, silent_s=silent_s)
+        for heartbeat in self._peers.local(self.heartbeats()):
+            received = self._received[heartbeat.name]
+            if not received.silent and now - received.at > SUSPECT_S:
+                received.silent = True
+                silent_s = round(now - received.at, 2)
+                event(
+                    _log, "box-silent", box=heartbeat.name, place=heartbeat.place, silent_s=silent_s
+                )
 
     def heartbeat_peers(self) -> list[Address]:
-        """Return the peers that are to hear this box's word at each turn."""
-        return [word.peer for word in self._peers.local(self.heartbeats())]
+        """Return the peers that receive every heartbeat of this box."""
+        return [heartbeat.peer for heartbeat in self._peers.local(self.heartbeats())]
 
     def remote_peers(self) -> list[Address]:
-        """Return a few peers of other places, where there are too many boxes to tell all."""
-        far = self._peers.remote(self.heartbeats(), follows=self.is_follower())
-        return [word.peer for word in far]
+        """Return a few random peers of other places; none in a small system."""
+        remote = self._peers.remote(self.heartbeats(), follows=self.is_follower())
+        return [heartbeat.peer for heartbeat in remote]
 
     def local_follower(self) -> list[Heartbeat]:
-        """Return the word of the box of this place that follows the store, aged until now."""
+        """Return the heartbeat of the follower of this place, with its age added."""
         now = self._clock()
         return [
-            heard.word.aged(now - heard.at)
-            for heard in self._heard.values()
-            if heard.word.follows and heard.word.place == self.place and now - heard.at <= SUSPECT_S
+            received.heartbeat.aged(now - received.at)
+            for received in self._received.values()
+            if received.heartbeat.follows
+            and received.heartbeat.place == self.place
+            and now - received.at <= SUSPECT_S
         ]
 
     def update_peers(self) -> list[Address]:
-        """Return the peers that are to hear at once of news of a table; they pass it on."""
-        return [word.peer for word in self._peers.update_targets(self.heartbeats())]
+        """Return the peers that an update is sent to at once; they pass it on."""
+        return [heartbeat.peer for heartbeat in self._peers.update_targets(self.heartbeats())]
 
     def introductions(self, place: str) -> list[Heartbeat]:
-        """Return the words that a new box of a place needs to find its peers, aged until now."""
+        """Return the heartbeats that a new box of a place is introduced with, with ages added."""
         now = self._clock()
         chosen = self._peers.introductions(place, self.live())
-        return [word.aged(now - self._heard[word.name].at) for word in chosen]
+        return [heartbeat.aged(now - self._received[heartbeat.name].at) for heartbeat in chosen]
 
     def live(self) -> list[Heartbeat]:
-        """Return the last words of the boxes heard lately, without this one."""
+        """Return the latest heartbeat of each live box, without this one."""
         now = self._clock()
-        return [h.word for h in self._heard.values() if now - h.at <= SUSPECT_S]
+        return [
+            received.heartbeat
+            for received in self._received.values()
+            if now - received.at <= SUSPECT_S
+        ]
 
     def silent_places(self) -> set[str]:
-        """Return the places that have boxes none of which is heard."""
-        return set(self._place_boxes) - {self.place, *(word.place for word in self.live())}
+        """Return the other places that have boxes but no live one."""
+        return set(self._box_counts) - {self.place, *(heartbeat.place for heartbeat in self.live())}
 
     def is_follower(self) -> bool:
-        """Return whether this box is the one of its place that follows the store."""
-        able = [self.name] if self.reading and self.state != DRAINING else []
+        """Return whether this box is the one of its place that follows the store.
+
+        Notes
+        -----
+        Boxes that can read the store go first, then those that are not draining.
+        """
+        candidates = [self.name] if self.reading and self.state != DRAINING else []
         staying = [self.name] if self.state != DRAINING else []
-        for word in self.live():
-            if word.place == self.place and word.state != DRAINING:
-                staying.append(word.name)
-                able += [word.name] if word.reading else []
-        # Where nobody can read one still tries: if all did, all would tell all others.
-        return highest(self.place, able or staying or [self.name], 1) == [self.name]
+        for heartbeat in self.live():
+            if heartbeat.place == self.place and heartbeat.state != DRAINING:
+                staying.append(heartbeat.name)
+                candidates += [heartbeat.name] if heartbeat.reading else []
+        # One box stays the follower though none can read: if all were, each would send the
+        # heartbeats of its place to all followers of other places.
+        return highest(self.place, candidates or staying or [self.name], 1) == [self.name]
 
     def local_live_count(self) -> int:
-        """Return how many boxes of this place are heard, this one included."""
-        return 1 + sum(word.place == self.place for word in self.live())
+        """Return the number of live boxes of this place, this one included."""
+        return 1 + sum(heartbeat.place == self.place for heartbeat in self.live())
 
     def is_reader(self) -> bool:
-        """Return whether this box reads the store: the first of its place, or if need be."""
+        """Return whether this box reads the store: as a follower, or as its tables are stale."""
         return self.is_follower() or self.stale()
 
     def is_primary_reader(self) -> bool:
-        """Return whether this box is the one, of those that follow the store, that looks often."""
+        """Return whether this box is the one of all followers that polls the store most often."""
         if not self.is_follower():
             return False
-        names = [w.name for w in self.live() if w.follows and w.reading and w.state == RUNNING]
+        names = [
+            heartbeat.name
+            for heartbeat in self.live()
+            if heartbeat.follows and heartbeat.reading and heartbeat.state == RUNNING
+        ]
         return self.name <= min(names, default=self.name)
 
     def stale(self) -> bool:
-        """Return whether some table is so old that this box must read for itself."""
-        patient = self._clock() < self._patient_until
+        """Return whether some table is so old that this box must read the store itself."""
+        starting_up = self._clock() < self._start_delay_until
         return any(
             self.age(table) > STALE_S
             for table in self._tables.values()
-            if table.known or not patient
+            if table.known or not starting_up
         )
 
     def age(self, table: FollowedTable) -> Seconds:
-        """Return the seconds since a table was known to be all that there is."""
+        """Return the seconds since a table was last known to be current; infinity if never."""
         if table.verified_at is None:
             return float("inf")
         return self._clock() - table.verified_at
 
     def offered_addresses(self, place: str) -> list[Address]:
-        """Return the callers' addresses of boxes to offer, those of ``place`` if enough."""
+        """Return the addresses of running boxes for a caller, of ``place`` alone if enough.
+
+        Notes
+        -----
+        Boxes of one place alone are returned only if there are at least two, and if this
+        box knows most boxes of that place.
+        """
         now = self._clock()
-        words = [h.word for h in self._heard.values() if now - h.at <= SUSPECT_S]
-        running = [word for word in words if word.state == RUNNING]
+        latest = [
+            received.heartbeat
+            for received in self._received.values()
+            if now - received.at <= SUSPECT_S
+        ]
+        running = [heartbeat for heartbeat in latest if heartbeat.state == RUNNING]
         if not running:
-            words = [h.word for h in self._heard.values() if now - h.at <= _LAST_RESORT_S]
-            running = [word for word in words if word.state == RUNNING]
-        entries = [(word.place, word.caller) for word in running]
+            latest = [
+                received.heartbeat
+                for received in self._received.values()
+                if now - received.at <= _LAST_RESORT_S
+            ]
+            running = [heartbeat for heartbeat in latest if heartbeat.state == RUNNING]
+        entries = [(heartbeat.place, heartbeat.caller) for heartbeat in running]
         if self.state == RUNNING:
             entries.append((self.place, self._caller))
-        near = [caller for where, caller in entries if where == place]
-        if len(near) <= 1 or (place != self.place and not self._knows_all(place)):
+        local = [caller for box_place, caller in entries if box_place == place]
+        if len(local) <= 1 or (place != self.place and not self._knows_most(place)):
             return [caller for _, caller in entries]
-        return near
+        return local
 
-    def _knows_all(self, place: str) -> bool:
-        """Return whether this box hears most boxes of a place, not just a few drawn by chance."""
-        heard = sum(word.place == place for word in self.live())
-        return heard * 2 > self._place_boxes.get(place, 0)
+    def _knows_most(self, place: str) -> bool:
+        """Return whether this box knows more than half of the boxes of a place as live."""
+        live = sum(heartbeat.place == place for heartbeat in self.live())
+        return live * 2 > self._box_counts.get(place, 0)
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -232,9 +232,9 @@
     return self
 
 
-def _count_own_place(self, word):
-    if word.place == self.place:
-        self._place_boxes[self.place] = self._known[self.place] + 1
+def _count_own_place(self, heartbeat):
+    if heartbeat.place == self.place:
+        self._box_counts[self.place] = self._known_counts[self.place] + 1
 
 
 def _impatient(self):
@@ -383,7 +383,13 @@
     Mutant("leave the store to others", Mesh, "is_reader", _nobody_reads, "tests/test_mesh.py"),
     Mutant("tell no other place", PeerSelector, "remote", _tell_nobody_far, PEER_SELECTOR),
     Mutant("take a word told on for a new one", Heartbeat, "aged", _told_on_as_new, PEER_SELECTOR),
-    Mutant("count the boxes of the own place", Mesh, "_count", _count_own_place, PEER_SELECTOR),
+    Mutant(
+        "count the boxes of the own place",
+        Mesh,
+        "_update_box_counts",
+        _count_own_place,
+        PEER_SELECTOR,
+    ),
     Mutant("all read the store at the start", Mesh, "stale", _impatient, "tests/test_mesh.py"),
     Mutant(
         "trust a call that hangs",
@@ -417,7 +423,11 @@
         "tests/test_crash_gossip.py",
     ),
     Mutant(
-        "hold to the number of a start", Mesh, "_outgrow", _never_renumber, "tests/test_mesh.py"
+        "hold to the number of a start",
+        Mesh,
+        "_renumber_start",
+        _never_renumber,
+        "tests/test_mesh.py",
     ),
     Mutant(
         "say ready while stopping",
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -1,4 +1,4 @@
-"""Who reads the store, how fresh a box's knowledge is, and which boxes are offered."""
+"""Guards which box reads the store, when tables are stale, and which boxes are offered."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     DRAINING,
     RUNNING,
     STALE_S,
-    START_PATIENCE_S,
+    START_DELAY_RANGE_S,
     SUSPECT_S,
     Mesh,
 )
@@ -40,52 +40,54 @@
     return mesh, table
 
 
-def test_words_survive_the_datagram():
+def test_heartbeats_are_equal_after_packing_and_unpacking():
     mesh, _ = box("a", Clock())
-    word = mesh.own_heartbeat(reply_requested=True)
-    assert [unpack_messages(data) for data in pack_messages([word, word])] == [[word, word]]
+    heartbeat = mesh.own_heartbeat(reply_requested=True)
+    assert [unpack_messages(data) for data in pack_messages([heartbeat, heartbeat])] == [
+        [heartbeat, heartbeat]
+    ]
 
 
 @pytest.mark.parametrize(
     "data", [b"", b"\xc1", b"\x93\x01\x02\x03", b"\x01", pack_messages.__doc__.encode()]
 )
-def test_noise_is_no_word(data):
+def test_other_bytes_are_rejected_as_messages(data):
     with pytest.raises(ProtocolError):
         unpack_messages(data)
 
 
-def test_deltas_survive_the_stream():
+def test_deltas_are_equal_after_packing_and_unpacking():
     delta = TableDelta("t", 9, False, (TableRow("a", 8, b"x"), TableRow("b", 9, None)))
     assert unpack_delta(pack_delta(delta, age_ms=5)) == (delta, 5)
     with pytest.raises(ProtocolError):
         unpack_delta({"t": "t"})
 
 
-def test_one_box_of_each_place_reads_and_another_takes_over():
+def test_one_box_of_each_place_reads_and_another_replaces_it():
     clock = Clock()
     boxes = [box(name, clock) for name in "abc"] + [box("d", clock, place="hall-b")]
     meshes = [mesh for mesh, _ in boxes]
 
-    def tell():
+    def exchange():
         for mesh in meshes:
             for other in meshes:
                 other.receive(mesh.own_heartbeat())
 
-    tell()
-    tell()  # Who follows the store is told by words that know of all boxes.
+    exchange()
+    exchange()  # A heartbeat names the follower correctly once its sender knows all boxes.
     first = [mesh for mesh in meshes if mesh.is_reader()]
     assert sorted(mesh.place for mesh in first) == ["hall-a", "hall-b"]
-    lead = [mesh for mesh in meshes if mesh.is_primary_reader()]
-    assert [mesh.name for mesh in lead] == [min(mesh.name for mesh in first)]
-    near = next(mesh for mesh in first if mesh.place == "hall-a")
-    near.reading = False
-    tell()
+    primary = [mesh for mesh in meshes if mesh.is_primary_reader()]
+    assert [mesh.name for mesh in primary] == [min(mesh.name for mesh in first)]
+    local = next(mesh for mesh in first if mesh.place == "hall-a")
+    local.reading = False
+    exchange()
     second = [mesh for mesh in meshes if mesh.is_reader()]
     assert sorted(mesh.place for mesh in second) == ["hall-a", "hall-b"]
-    assert near not in second
+    assert local not in second
 
 
-def test_the_lead_is_one_that_reads_though_another_name_goes_first():
+def test_the_primary_reader_is_a_follower_though_another_name_sorts_before_it():
     clock = Clock()
     meshes = [box(f"box-{n}", clock)[0] for n in range(9)]
     for _ in range(2):
@@ -97,7 +99,7 @@
     assert [mesh for mesh in meshes if mesh.is_primary_reader()] == [reader]
 
 
-def test_a_box_that_nobody_tells_anything_new_reads_for_itself():
+def test_a_box_with_stale_tables_reads_the_store_itself():
     clock = Clock()
     (first, _), (second, _) = box("a", clock), box("b", clock)
     first.receive(second.own_heartbeat())
@@ -110,14 +112,14 @@
     assert idle.is_reader()
 
 
-def test_a_new_box_leaves_reading_to_another_of_its_place_for_a_while():
+def test_a_new_box_waits_before_it_reads_the_store_itself():
     clock = Clock()
     (first, _), (second, _) = box("a", clock, version=0), box("b", clock, version=0)
     for mesh in (first, second):
         mesh.receive(second.own_heartbeat())
         mesh.receive(first.own_heartbeat())
     assert [mesh.is_reader() for mesh in (first, second)].count(True) == 1
-    clock.now += START_PATIENCE_S[1]
+    clock.now += START_DELAY_RANGE_S[1]
     for mesh in (first, second):
         mesh.receive(second.own_heartbeat())
         mesh.receive(first.own_heartbeat())
@@ -125,21 +127,21 @@
     assert second.is_reader()
 
 
-def test_a_peer_s_word_makes_knowledge_fresh_only_where_it_is_as_new():
+def test_a_heartbeat_verifies_a_table_only_at_the_same_version():
     clock = Clock()
-    (teller, told), (mesh, table) = box("a", clock, version=5), box("b", clock, version=4)
+    (sender, sent), (mesh, table) = box("a", clock, version=5), box("b", clock, version=4)
     clock.now += 1.0
-    told.verify(clock.now)
-    mesh.receive(teller.own_heartbeat())
+    sent.verify(clock.now)
+    mesh.receive(sender.own_heartbeat())
     assert mesh.age(table) == pytest.approx(1.0)
-    assert mesh.newer_tables(teller.own_heartbeat()) == ["t"]
-    table.take(told.since(4), at=clock.now - 0.5)
-    mesh.receive(teller.own_heartbeat())
+    assert mesh.newer_tables(sender.own_heartbeat()) == ["t"]
+    table.take(sent.since(4), at=clock.now - 0.5)
+    mesh.receive(sender.own_heartbeat())
     assert mesh.age(table) == pytest.approx(0.0, abs=0.002)
-    assert mesh.newer_tables(teller.own_heartbeat()) == []
+    assert mesh.newer_tables(sender.own_heartbeat()) == []
 
 
-def test_a_restarted_box_does_not_listen_to_its_older_words():
+def test_heartbeats_of_an_earlier_start_are_dropped():
     clock = Clock()
     (old, _), (new, _), (mesh, _) = box("a", clock), box("a", clock, incarnation=2), box("b", clock)
     late = old.own_heartbeat()
@@ -148,8 +150,8 @@
     assert not mesh.receive(replace(mesh.own_heartbeat(), incarnation=9))
 
 
-def test_a_box_whose_clock_went_back_before_it_started_again_is_heard_at_once():
-    """Peers hold to the later start that they know, so it counts its own from there."""
+def test_a_box_restarted_with_its_clock_set_back_raises_its_incarnation():
+    """Otherwise peers would drop its heartbeats until they forget the previous start."""
     clock = Clock()
     (old, _), (mesh, _) = box("a", clock, incarnation=9), box("b", clock)
     mesh.receive(old.own_heartbeat())
@@ -162,14 +164,14 @@
     assert mesh.newer_incarnation(new.own_heartbeat()) is None
 
 
-def test_a_late_word_of_an_earlier_start_changes_nothing_at_the_box_itself():
+def test_a_late_heartbeat_of_an_earlier_start_does_not_change_the_incarnation():
     clock = Clock()
     (old, _), (new, _) = box("a", clock), box("a", clock, incarnation=2)
     assert not new.receive(old.own_heartbeat())
     assert new.own_heartbeat().incarnation == 2
 
 
-def test_a_silent_box_is_logged_once_and_when_it_is_heard_again(caplog):
+def test_a_silent_box_is_logged_once_and_again_when_it_is_back(caplog):
     caplog.set_level("INFO")
     clock = Clock()
     (mesh, _), (other, _) = box("a", clock), box("b", clock)
@@ -185,23 +187,23 @@
     assert caplog.records[2].fields["silent_s"] == pytest.approx(SUSPECT_S + 0.1, abs=0.01)
 
 
-def test_silent_and_draining_boxes_are_not_offered_and_the_own_place_goes_first():
+def test_silent_and_draining_boxes_are_not_offered_and_the_callers_place_is_preferred():
     clock = Clock()
     mesh, _ = box("a", clock)
-    near, _ = box("b", clock)
-    far, _ = box("c", clock, place="hall-b")
-    for other in (near, far):
+    local, _ = box("b", clock)
+    remote, _ = box("c", clock, place="hall-b")
+    for other in (local, remote):
         mesh.receive(other.own_heartbeat())
     assert sorted(mesh.offered_addresses("hall-a")) == ["a:1", "b:1"]
-    # One box alone would be all that callers of the place know.
+    # A single box of the place is not enough for its callers.
     assert sorted(mesh.offered_addresses("hall-b")) == ["a:1", "b:1", "c:1"]
-    near.state = DRAINING
-    mesh.receive(near.own_heartbeat())
+    local.state = DRAINING
+    mesh.receive(local.own_heartbeat())
     assert sorted(mesh.offered_addresses("hall-a")) == ["a:1", "c:1"]
     clock.now += SUSPECT_S + 0.1
-    far.own_heartbeat()
-    assert sorted(mesh.offered_addresses("hall-a")) == ["a:1", "c:1"]  # nobody else: the last known
-    mesh.receive(near.own_heartbeat())
-    near.state = RUNNING
-    mesh.receive(near.own_heartbeat())
+    remote.own_heartbeat()
+    assert sorted(mesh.offered_addresses("hall-a")) == ["a:1", "c:1"]  # no live box: the last known
+    mesh.receive(local.own_heartbeat())
+    local.state = RUNNING
+    mesh.receive(local.own_heartbeat())
     assert sorted(mesh.offered_addresses("hall-a")) == ["a:1", "b:1"]
