--- a/dunlinnotch/protocol/mesh.py
+++ b/dunlinnotch/protocol/mesh.py
@@ -1,8 +1,7 @@
-"""What boxes tell each other: short messages by datagram, tables by stream.
+"""Messages between boxes: heartbeats and crash reports by datagram, tables by stream.
 
-A message is one msgpack list, a box's word or what was seen of one request under
-which targets ended; a datagram holds one or a few.  A table is asked for
-over a stream: one msgpack map each way.
+Each heartbeat or crash report is one msgpack list; a datagram holds one or more of
+them.  A table is requested over a stream, with one msgpack map each way.
 """
 
 from __future__ import annotations
@@ -21,25 +20,25 @@
 
     from dunlinnotch.types import Seconds
 
-#: Words of another release, or of nobody, are not taken.
-_FORMAT = 6
-_WORD_FIELDS = 13
-#: Bytes of words put into one datagram: it is not to be cut on its way.
-_DATAGRAM_MOST = 1200
+#: Format of a heartbeat; those of another format are rejected.
+_HEARTBEAT_FORMAT = 6
+_HEARTBEAT_FIELDS = 13
+#: Largest size of a datagram with more than one message, so that it is not fragmented.
+_MAX_DATAGRAM_BYTES = 1200
 
 
 @dataclass(frozen=True, slots=True)
 class TableState:
-    """How far a box knows a table.
+    """Version and age of a box's copy of a table.
 
     Parameters
     ----------
     version, changed : int
-        It is known completely up to ``version``, and no row changed since ``changed``.
+        The copy is complete up to ``version``; its last row changed at ``changed``.
     age_ms : int
-        Milliseconds since it was known to be all; -1 if it never was.
+        Milliseconds since the copy was known to be current; -1 if it never was.
     era : int, default 0
-        The era of the store to which the versions belong.
+        Epoch of the store that the versions belong to.
     """
 
     version: int
@@ -50,17 +49,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """What a box says of itself.
+    """State of a box that it sends to its peers.
 
     Parameters
     ----------
     name, place : str
     incarnation : int
-        Grows with each start of the box.
+        Larger for each later start of the box.
     seq : int
-        Grows with each word of one start.
+        Larger for each later heartbeat of one start.
     caller, peer : str
-        Where callers and peers connect.
+        Addresses at which the box serves callers and peers.
     state : str
         ``starting``, ``running`` or ``draining``.
     reading : bool
@@ -68,14 +67,14 @@
     follows : bool
         Whether it is the box of its place that follows the store.
     in_flight : int
+        Requests in flight at the box.
     box_counts : dict of str to int
-        The most boxes of each place that the sender knows to have been at once.
+        Largest number of boxes at once that the sender knows of, by place.
     tables : dict of str to TableState
     reply_requested : bool
-        Whether the sender wants to hear the receiver's word now.
+        Whether the receiver is to reply with its own heartbeat at once.
     crash_digest : int or None
-        The digest of its evidence on requests that end targets; ``None`` while it does
-        not know what others saw.
+        Digest of the sender's crash records; ``None`` until it has those of its peers.
     """
 
     name: str
@@ -95,11 +94,11 @@
 
     @property
     def recency(self) -> tuple[int, int]:
-        """Order of a box's words: the larger one is newer."""
+        """Order of a box's heartbeats: the larger one is newer."""
         return (self.incarnation, self.seq)
 
     def aged(self, by: Seconds) -> Heartbeat:
-        """Return the word as it is to be told on ``by`` seconds after it was heard."""
+        """Return the heartbeat to forward ``by`` seconds after it was received."""
         tables = {
             name: state
             if state.age_ms < 0
@@ -110,11 +109,13 @@
 
 
 def pack_messages(messages: Iterable[Heartbeat | CrashReport]) -> Iterator[bytes]:
-    """Return messages in as few datagrams as hold them."""
+    """Yield datagrams that hold the messages in order, as many in each as fit."""
     datagram = b""
     for message in messages:
-        packed = pack_word(message) if isinstance(message, Heartbeat) else pack_crashes(message)
-        if datagram and len(datagram) + len(packed) > _DATAGRAM_MOST:
+        packed = (
+            pack_heartbeat(message) if isinstance(message, Heartbeat) else pack_crashes(message)
+        )
+        if datagram and len(datagram) + len(packed) > _MAX_DATAGRAM_BYTES:
             yield datagram
             datagram = b""
         datagram += packed
@@ -122,23 +123,23 @@
         yield datagram
 
 
-def pack_word(word: Heartbeat) -> bytes:
-    """Return a word as bytes; those of several words may follow each other."""
-    tables = {n: [t.version, t.changed, t.age_ms, t.era] for n, t in word.tables.items()}
+def pack_heartbeat(heartbeat: Heartbeat) -> bytes:
+    """Return a heartbeat as bytes; several may be concatenated."""
+    tables = {n: [t.version, t.changed, t.age_ms, t.era] for n, t in heartbeat.tables.items()}
     fields = [
-        _FORMAT,
-        word.name,
-        word.place,
-        word.incarnation,
-        word.seq,
-        word.caller,
-        word.peer,
-        word.state,
-        [word.reading, word.follows, word.reply_requested],
-        word.in_flight,
+        _HEARTBEAT_FORMAT,
+        heartbeat.name,
+        heartbeat.place,
+        heartbeat.incarnation,
+        heartbeat.seq,
+        heartbeat.caller,
+        heartbeat.peer,
+        heartbeat.state,
+        [heartbeat.reading, heartbeat.follows, heartbeat.reply_requested],
+        heartbeat.in_flight,
         tables,
-        word.box_counts,
-        word.crash_digest,
+        heartbeat.box_counts,
+        heartbeat.crash_digest,
     ]
     packed: bytes = msgpack.packb(fields)
     return packed
@@ -158,10 +159,10 @@
         messages = [_read_message(fields) for fields in unpacker]
         whole = unpacker.tell() == len(data)
     except (ValueError, TypeError, AttributeError, msgpack.UnpackException) as error:
-        msg = f"no message: {error}"
+        msg = f"datagram of {len(data)} bytes holds no valid message: {error}"
         raise ProtocolError(msg) from None
     if not messages or not whole:
-        msg = f"no whole messages in {len(data)} bytes"
+        msg = f"datagram of {len(data)} bytes is empty or ends within a message"
         raise ProtocolError(msg)
     return messages
 
@@ -169,14 +170,18 @@
 def _read_message(fields: Any) -> Heartbeat | CrashReport:  # noqa: ANN401 - checked here
     if isinstance(fields, list) and fields and fields[0] == CRASHES_FORMAT:
         return read_crashes(fields)
-    return _read_word(fields)
+    return _read_heartbeat(fields)
 
 
-def _read_word(fields: Any) -> Heartbeat:  # noqa: ANN401 - checked here
-    if not isinstance(fields, list) or len(fields) < _WORD_FIELDS or fields[0] != _FORMAT:
-        msg = f"no word of format {_FORMAT}"
+def _read_heartbeat(fields: Any) -> Heartbeat:  # noqa: ANN401 - checked here
+    if (
+        not isinstance(fields, list)
+        or len(fields) < _HEARTBEAT_FIELDS
+        or fields[0] != _HEARTBEAT_FORMAT
+    ):
+        msg = f"heartbeat must be a list of format {_HEARTBEAT_FORMAT}, got {fields!r:.80}"
         raise ProtocolError(msg)
-    reading, follows, wants = fields[8]
+    reading, follows, reply_requested = fields[8]
     return Heartbeat(
         name=str(fields[1]),
         place=str(fields[2]),
@@ -190,38 +195,41 @@
         in_flight=int(fields[9]),
         box_counts={str(place): int(count) for place, count in fields[11].items()},
         tables={str(n): TableState(*map(int, state)) for n, state in fields[10].items()},
-        reply_requested=bool(wants),
+        reply_requested=bool(reply_requested),
         crash_digest=None if fields[12] is None else int(fields[12]),
     )
 
 
 def pack_delta(delta: TableDelta, *, age_ms: int) -> dict[str, Any]:
-    """Return a table's changes as plain data."""
+    """Return a table's changes as a map for msgpack."""
     rows = [[row.key, row.version, row.value] for row in delta.rows]
-    plain = {"t": delta.table, "v": delta.version, "w": delta.whole, "r": rows, "a": age_ms}
-    return {**plain, "c": delta.changed, "e": delta.era}
+    fields = {"t": delta.table, "v": delta.version, "w": delta.whole, "r": rows, "a": age_ms}
+    return {**fields, "c": delta.changed, "e": delta.era}
 
 
-def unpack_delta(plain: Any) -> tuple[TableDelta, int]:  # noqa: ANN401 - checked here
+def unpack_delta(fields: Any) -> tuple[TableDelta, int]:  # noqa: ANN401 - checked here
     """Return a table's changes and their age in milliseconds.
 
     Raises
     ------
     ProtocolError
+        If the map lacks a field or holds one of a wrong type.
     """
     try:
-        rows = tuple(TableRow(str(k), int(v), _value(value)) for k, v, value in plain["r"])
-        changed = int(plain["c"])
-        era = None if plain["e"] is None else int(plain["e"])
-        delta = TableDelta(str(plain["t"]), int(plain["v"]), bool(plain["w"]), rows, changed, era)
-        return delta, int(plain["a"])
+        rows = tuple(TableRow(str(k), int(v), _value(value)) for k, v, value in fields["r"])
+        changed = int(fields["c"])
+        era = None if fields["e"] is None else int(fields["e"])
+        delta = TableDelta(
+            str(fields["t"]), int(fields["v"]), bool(fields["w"]), rows, changed, era
+        )
+        return delta, int(fields["a"])
     except (KeyError, ValueError, TypeError) as error:
-        msg = f"no table: {error!r}"
+        msg = f"invalid changes of a table: {error!r}"
         raise ProtocolError(msg) from None
 
 
-def _value(plain: Any) -> bytes | None:  # noqa: ANN401 - checked here
-    if plain is None or isinstance(plain, bytes):
-        return plain
-    msg = f"a row's value is {type(plain).__name__}; bytes are needed"
+def _value(value: Any) -> bytes | None:  # noqa: ANN401 - checked here
+    if value is None or isinstance(value, bytes):
+        return value
+    msg = f"a row's value must be bytes or None, got {type(value).__name__}"
     raise TypeError(msg)
