--- a/dunlinnotch/state/schema.py
+++ b/dunlinnotch/state/schema.py
@@ -209,7 +209,7 @@
     if name in Settings.model_fields:
         return
     nearest = difflib.get_close_matches(name, FIELD_NAMES, n=1)
-    hint = f"; did you mean {nearest[0]!r}?" if nearest else ""
+    hint = f"; did you mean {nearest[0]!r}?" if nearest else "."
     msg = f"unknown setting {name!r}{hint} Known: {', '.join(FIELD_NAMES)}"
     raise SettingsError(msg)
 
