--- a/dunlinnotch/lab/day.py
+++ b/dunlinnotch/lab/day.py
@@ -18,7 +18,7 @@
 _NAME = r"^[A-Za-z][A-Za-z0-9-]{0,40}$"
 
 
-class TroubleKind(StrEnum):
+class FaultKind(StrEnum):
     """What goes wrong, or is done on purpose."""
 
     #: Callers send ``x`` times as much.
@@ -79,16 +79,16 @@
 #: Troubles that excuse nothing: planned work, and what callers send.
 PLANNED = frozenset(
     {
-        TroubleKind.BURST,
-        TroubleKind.RELEASE,
-        TroubleKind.TARGET_REFUSES,
-        TroubleKind.TARGET_RESTS,
-        TroubleKind.TARGET_LEAVES,
-        TroubleKind.DEADLY_REQUEST,
-        TroubleKind.CALLER_LEAVES,
-        TroubleKind.BOX_STOP,
-        TroubleKind.SETTINGS_MOVE,
-        TroubleKind.SETTINGS_STORM,
+        FaultKind.BURST,
+        FaultKind.RELEASE,
+        FaultKind.TARGET_REFUSES,
+        FaultKind.TARGET_RESTS,
+        FaultKind.TARGET_LEAVES,
+        FaultKind.DEADLY_REQUEST,
+        FaultKind.CALLER_LEAVES,
+        FaultKind.BOX_STOP,
+        FaultKind.SETTINGS_MOVE,
+        FaultKind.SETTINGS_STORM,
     }
 )
 
@@ -126,7 +126,7 @@
 class TroublePlan(_Part):
     """Something that happens."""
 
-    kind: TroubleKind
+    kind: FaultKind
     at: float = Field(ge=0, description="Seconds from the start of traffic.")
     for_s: float = Field(2.0, ge=0, le=120)
     share: float = Field(0.3, gt=0, le=1, description="Part of the boxes or targets.")
--- a/dunlinnotch/lab/draw.py
+++ b/dunlinnotch/lab/draw.py
@@ -4,7 +4,7 @@
 
 import random
 
-from dunlinnotch.lab.day import Day, KindPlan, ServicePlan, TroubleKind, TroublePlan
+from dunlinnotch.lab.day import Day, FaultKind, KindPlan, ServicePlan, TroublePlan
 
 _LENGTH_S = 16.0
 #: Troubles begin between these moments of the day, in seconds.
@@ -13,17 +13,17 @@
 #: Share of the services whose targets never answer what they can't queue.
 _HANGS = 0.3
 _STRENGTH = {
-    TroubleKind.BURST: (1.3, 2.0),
-    TroubleKind.TARGET_SLOW: (3.0, 12.0),
-    TroubleKind.ANSWER_LOST: (0.02, 0.3),
-    TroubleKind.ANSWER_CUT: (0.02, 0.3),
-    TroubleKind.ANSWER_TWICE: (0.02, 0.3),
-    TroubleKind.TARGET_REFUSES: (0.2, 1.0),
-    TroubleKind.TARGET_RESTS: (0.2, 1.0),
-    TroubleKind.STORE_SLOW: (0.05, 0.5),
-    TroubleKind.STORE_BACK: (0.5, 6.0),
-    TroubleKind.DEADLY_REQUEST: (2.0, 8.0),
-    TroubleKind.CALLER_LEAVES: (2.0, 6.0),
+    FaultKind.BURST: (1.3, 2.0),
+    FaultKind.TARGET_SLOW: (3.0, 12.0),
+    FaultKind.ANSWER_LOST: (0.02, 0.3),
+    FaultKind.ANSWER_CUT: (0.02, 0.3),
+    FaultKind.ANSWER_TWICE: (0.02, 0.3),
+    FaultKind.TARGET_REFUSES: (0.2, 1.0),
+    FaultKind.TARGET_RESTS: (0.2, 1.0),
+    FaultKind.STORE_SLOW: (0.05, 0.5),
+    FaultKind.STORE_BACK: (0.5, 6.0),
+    FaultKind.DEADLY_REQUEST: (2.0, 8.0),
+    FaultKind.CALLER_LEAVES: (2.0, 6.0),
 }
 
 
@@ -36,7 +36,7 @@
     """
     rng = random.Random(seed)
     count = rng.randint(*_TROUBLES)
-    kinds = rng.sample(list(TroubleKind), count)
+    kinds = rng.sample(list(FaultKind), count)
     return Day(
         name=f"drawn-{seed}",
         seed=seed,
@@ -74,7 +74,7 @@
     )
 
 
-def _draw_trouble(kind: TroubleKind, rng: random.Random) -> TroublePlan:
+def _draw_trouble(kind: FaultKind, rng: random.Random) -> TroublePlan:
     return TroublePlan(
         kind=kind,
         at=round(rng.uniform(_FIRST_S, _LAST_S), 2),
--- a/dunlinnotch/lab/referee/common.py
+++ b/dunlinnotch/lab/referee/common.py
@@ -8,7 +8,7 @@
 from enum import StrEnum
 from typing import TYPE_CHECKING
 
-from dunlinnotch.lab.day import PLANNED, TroubleKind
+from dunlinnotch.lab.day import PLANNED, FaultKind
 
 if TYPE_CHECKING:
     from collections.abc import Collection, Iterator, Sequence
@@ -24,11 +24,11 @@
 #: Troubles after which a box may have forgotten what a target told it, or hears it late.
 BOX_OR_LINK = frozenset(
     {
-        TroubleKind.BOX_KILL,
-        TroubleKind.BOX_FREEZE,
-        TroubleKind.BOX_STOP,
-        TroubleKind.TARGET_SILENT,
-        TroubleKind.TARGET_RESET,
+        FaultKind.BOX_KILL,
+        FaultKind.BOX_FREEZE,
+        FaultKind.BOX_STOP,
+        FaultKind.TARGET_SILENT,
+        FaultKind.TARGET_RESET,
     }
 )
 
@@ -104,7 +104,7 @@
 class Window:
     """A time in which something was wrong, in monotonic seconds."""
 
-    kind: TroubleKind
+    kind: FaultKind
     start: Seconds
     end: Seconds
 
@@ -198,6 +198,6 @@
         """Return whether anything but planned work went on in a span of time."""
         return any(w.kind not in PLANNED and w.touches(start, end) for w in self.evidence.windows)
 
-    def troubled(self, kinds: Collection[TroubleKind], start: Seconds, end: Seconds) -> bool:
+    def troubled(self, kinds: Collection[FaultKind], start: Seconds, end: Seconds) -> bool:
         """Return whether a trouble of some kinds went on in a span of time."""
         return any(w.kind in kinds and w.touches(start, end) for w in self.evidence.windows)
--- a/dunlinnotch/lab/referee/stops.py
+++ b/dunlinnotch/lab/referee/stops.py
@@ -5,7 +5,7 @@
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from dunlinnotch.lab.day import TroubleKind
+from dunlinnotch.lab.day import FaultKind
 from dunlinnotch.lab.referee.common import SLACK_S, Finding, Promise
 from dunlinnotch.standins.users.caller import AttemptOutcome
 
@@ -37,7 +37,7 @@
     """Check that boxes asked to stop are soon taken out of use."""
     for stop in seen.evidence.stops:
         limit = stop.asked + _NOT_READY_S + SLACK_S
-        troubled = seen.troubled({TroubleKind.BOX_FREEZE}, stop.asked, limit)
+        troubled = seen.troubled({FaultKind.BOX_FREEZE}, stop.asked, limit)
         if stop.not_ready > limit and seen.evidence.ended > limit and not troubled:
             detail = f"ready {_NOT_READY_S:g} s after it was asked to stop"
             yield Finding(Promise.NOT_READY, stop.box, detail)
--- a/dunlinnotch/lab/troubles.py
+++ b/dunlinnotch/lab/troubles.py
@@ -8,7 +8,7 @@
 import signal
 from typing import TYPE_CHECKING, TypeVar
 
-from dunlinnotch.lab.day import TroubleKind
+from dunlinnotch.lab.day import FaultKind
 from dunlinnotch.lab.fleet import DEADLY, HOST, LONG, prefix_of
 from dunlinnotch.lab.link import LinkState
 from dunlinnotch.lab.referee import BoxStop, Window
@@ -72,33 +72,33 @@
         self.deadly_attempts: list[AttemptRecord] = []
         self.left_attempts: list[AttemptRecord] = []
         self.stops: list[BoxStop] = []
-        self._how: dict[TroubleKind, Callable[[TroublePlan], Coroutine[None, None, None]]] = {
-            TroubleKind.BURST: self._burst,
-            TroubleKind.TARGET_SLOW: self._slow_targets,
-            TroubleKind.TARGET_CRASH: self._crash_targets,
-            TroubleKind.TARGET_SILENT: self._cut_targets,
-            TroubleKind.TARGET_RESET: self._cut_targets,
-            TroubleKind.ANSWER_LOST: self._spoil_answers,
-            TroubleKind.ANSWER_CUT: self._spoil_answers,
-            TroubleKind.ANSWER_TWICE: self._spoil_answers,
-            TroubleKind.HEALTH_LIES: self._lie,
-            TroubleKind.TARGET_REFUSES: self._refuse,
-            TroubleKind.TARGET_RESTS: self._refuse,
-            TroubleKind.TARGET_LEAVES: self._release,
-            TroubleKind.RELEASE: self._release,
-            TroubleKind.DEADLY_REQUEST: self._send_deadly,
-            TroubleKind.CALLER_LEAVES: self._leave_early,
-            TroubleKind.BOX_KILL: self._kill_boxes,
-            TroubleKind.BOX_FREEZE: self._freeze_boxes,
-            TroubleKind.BOX_STOP: self._stop_boxes,
-            TroubleKind.STORE_DOWN: self._store_down,
-            TroubleKind.STORE_SLOW: self._store_slow,
-            TroubleKind.STORE_SILENT: self._cut_store,
-            TroubleKind.STORE_RESET: self._cut_store,
-            TroubleKind.STORE_FORGETS: self._forget,
-            TroubleKind.STORE_BACK: self._bring_back,
-            TroubleKind.SETTINGS_MOVE: self._move,
-            TroubleKind.SETTINGS_STORM: self._storm,
+        self._how: dict[FaultKind, Callable[[TroublePlan], Coroutine[None, None, None]]] = {
+            FaultKind.BURST: self._burst,
+            FaultKind.TARGET_SLOW: self._slow_targets,
+            FaultKind.TARGET_CRASH: self._crash_targets,
+            FaultKind.TARGET_SILENT: self._cut_targets,
+            FaultKind.TARGET_RESET: self._cut_targets,
+            FaultKind.ANSWER_LOST: self._spoil_answers,
+            FaultKind.ANSWER_CUT: self._spoil_answers,
+            FaultKind.ANSWER_TWICE: self._spoil_answers,
+            FaultKind.HEALTH_LIES: self._lie,
+            FaultKind.TARGET_REFUSES: self._refuse,
+            FaultKind.TARGET_RESTS: self._refuse,
+            FaultKind.TARGET_LEAVES: self._release,
+            FaultKind.RELEASE: self._release,
+            FaultKind.DEADLY_REQUEST: self._send_deadly,
+            FaultKind.CALLER_LEAVES: self._leave_early,
+            FaultKind.BOX_KILL: self._kill_boxes,
+            FaultKind.BOX_FREEZE: self._freeze_boxes,
+            FaultKind.BOX_STOP: self._stop_boxes,
+            FaultKind.STORE_DOWN: self._store_down,
+            FaultKind.STORE_SLOW: self._store_slow,
+            FaultKind.STORE_SILENT: self._cut_store,
+            FaultKind.STORE_RESET: self._cut_store,
+            FaultKind.STORE_FORGETS: self._forget,
+            FaultKind.STORE_BACK: self._bring_back,
+            FaultKind.SETTINGS_MOVE: self._move,
+            FaultKind.SETTINGS_STORM: self._storm,
         }
 
     async def cause(self, plan: TroublePlan) -> None:
@@ -149,7 +149,7 @@
 
     async def _cut_targets(self, plan: TroublePlan) -> None:
         targets = self._some_targets(plan)
-        silent = plan.kind is TroubleKind.TARGET_SILENT
+        silent = plan.kind is FaultKind.TARGET_SILENT
         for target in targets:
             target.link.set_state(LinkState.SILENT if silent else LinkState.RESET)
         await asyncio.sleep(plan.for_s)
@@ -158,9 +158,9 @@
 
     async def _spoil_answers(self, plan: TroublePlan) -> None:
         fault = {
-            TroubleKind.ANSWER_LOST: WorkerFault.LOST,
-            TroubleKind.ANSWER_CUT: WorkerFault.CUT,
-            TroubleKind.ANSWER_TWICE: WorkerFault.LATE_SURPLUS,
+            FaultKind.ANSWER_LOST: WorkerFault.LOST,
+            FaultKind.ANSWER_CUT: WorkerFault.CUT,
+            FaultKind.ANSWER_TWICE: WorkerFault.LATE_SURPLUS,
         }[plan.kind]
 
         def draw() -> WorkerFault:
@@ -175,7 +175,7 @@
 
     async def _refuse(self, plan: TroublePlan) -> None:
         targets = self._some_targets(plan)
-        rests = plan.kind is TroubleKind.TARGET_RESTS
+        rests = plan.kind is FaultKind.TARGET_RESTS
         for target in targets:
             target.worker.settings.turns_away = lambda: self._rng.random() < plan.x
             target.worker.settings.rest = self._rng.choice(_RESTS) if rests else ""
@@ -193,7 +193,7 @@
             target.worker.settings.healthy = True
 
     async def _release(self, plan: TroublePlan) -> None:
-        quiet = plan.kind is TroubleKind.TARGET_LEAVES
+        quiet = plan.kind is FaultKind.TARGET_LEAVES
         announce = self._fleet.vanish if quiet else self._fleet.announce_leaving
         for target in self._some_targets(plan):
             if not target.ending:
@@ -291,7 +291,7 @@
         self._fleet.store.faults.slow_s = 0.0
 
     async def _cut_store(self, plan: TroublePlan) -> None:
-        silent = plan.kind is TroubleKind.STORE_SILENT
+        silent = plan.kind is FaultKind.STORE_SILENT
         links = [self._fleet.store_links[box.name] for box in self._some_boxes(plan)]
         for link in links:
             link.set_state(LinkState.SILENT if silent else LinkState.RESET)
--- a/tests/test_coverage.py
+++ b/tests/test_coverage.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from dunlinnotch.lab.day import TroubleKind
+from dunlinnotch.lab.day import FaultKind
 from dunlinnotch.lab.draw import draw_day
 from dunlinnotch.lab.referee import Promise
 from tests.mutants import MUTANTS
@@ -49,10 +49,10 @@
     assert files
     for name in files:
         assert (PACKAGE / name).exists() or (PACKAGE.parent / name).exists(), name
-    assert set(named(row[2])) <= {kind.value for kind in TroubleKind}
+    assert set(named(row[2])) <= {kind.value for kind in FaultKind}
     assert row[4] == "-" or row[4] in {mutant.name for mutant in MUTANTS}
 
 
 def test_each_trouble_is_drawn():
     drawn = {trouble.kind for seed in range(_SEEDS) for trouble in draw_day(seed).troubles}
-    assert drawn == set(TroubleKind)
+    assert drawn == set(FaultKind)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -19,9 +19,9 @@
 from dunlinnotch.lab.day import (
     Bounds,
     Day,
+    FaultKind,
     KindPlan,
     ServicePlan,
-    TroubleKind,
     TroublePlan,
     read_day,
 )
@@ -89,7 +89,7 @@
     assert draw_day(7) == draw_day(7)
     assert draw_day(7) != draw_day(8)
     drawn = {trouble.kind for seed in range(60) for trouble in draw_day(seed).troubles}
-    assert drawn == set(TroubleKind)
+    assert drawn == set(FaultKind)
 
 
 def echo_through(test):
@@ -221,9 +221,9 @@
 def test_a_day_with_a_kill_and_a_move_keeps_the_promises(tmp_path):
     """Real boxes, callers and targets; no figure of time is checked here."""
     plan = day(
-        TroublePlan(kind=TroubleKind.BOX_KILL, at=0.5, for_s=0.2, share=0.5),
-        TroublePlan(kind=TroubleKind.SETTINGS_MOVE, at=0.2, for_s=1.0),
-        TroublePlan(kind=TroubleKind.ANSWER_LOST, at=0.0, for_s=2.0, x=0.2, share=0.5),
+        TroublePlan(kind=FaultKind.BOX_KILL, at=0.5, for_s=0.2, share=0.5),
+        TroublePlan(kind=FaultKind.SETTINGS_MOVE, at=0.2, for_s=1.0),
+        TroublePlan(kind=FaultKind.ANSWER_LOST, at=0.0, for_s=2.0, x=0.2, share=0.5),
     )
     told = []
     seen = asyncio.run(play(plan, tmp_path, progress=told.append))
@@ -239,8 +239,8 @@
 
 def test_a_target_that_crashes_amid_a_release_ends_once(tmp_path):
     plan = day(
-        TroublePlan(kind=TroubleKind.RELEASE, at=0.1, share=1.0),
-        TroublePlan(kind=TroubleKind.TARGET_CRASH, at=0.2, for_s=0.0, share=1.0),
+        TroublePlan(kind=FaultKind.RELEASE, at=0.1, share=1.0),
+        TroublePlan(kind=FaultKind.TARGET_CRASH, at=0.2, for_s=0.0, share=1.0),
         bounds=Bounds(drain=0.2),
     )
     assert broken(asyncio.run(play(plan, tmp_path))) == []
