--- a/dunlinnotch/lab/day.py
+++ b/dunlinnotch/lab/day.py
@@ -123,7 +123,7 @@
     attempts: int = Field(3, ge=1, le=9, description="Targets that one attempt may go to.")
 
 
-class TroublePlan(_Part):
+class FaultPlan(_Part):
     """Something that happens."""
 
     kind: FaultKind
@@ -157,7 +157,7 @@
     places: tuple[str, ...] = Field(("hall-a", "hall-b", "hall-c"), min_length=1)
     services: tuple[ServicePlan, ...] = Field(min_length=1)
     kinds: tuple[KindPlan, ...] = Field(min_length=1)
-    troubles: tuple[TroublePlan, ...] = ()
+    troubles: tuple[FaultPlan, ...] = ()
     bounds: Bounds = Bounds()
 
     @model_validator(mode="after")
--- a/dunlinnotch/lab/draw.py
+++ b/dunlinnotch/lab/draw.py
@@ -4,7 +4,7 @@
 
 import random
 
-from dunlinnotch.lab.day import Day, FaultKind, KindPlan, ServicePlan, TroublePlan
+from dunlinnotch.lab.day import Day, FaultKind, FaultPlan, KindPlan, ServicePlan
 
 _LENGTH_S = 16.0
 #: Troubles begin between these moments of the day, in seconds.
@@ -74,8 +74,8 @@
     )
 
 
-def _draw_trouble(kind: FaultKind, rng: random.Random) -> TroublePlan:
-    return TroublePlan(
+def _draw_trouble(kind: FaultKind, rng: random.Random) -> FaultPlan:
+    return FaultPlan(
         kind=kind,
         at=round(rng.uniform(_FIRST_S, _LAST_S), 2),
         for_s=round(rng.uniform(0.5, 5.0), 2),
--- a/dunlinnotch/lab/troubles.py
+++ b/dunlinnotch/lab/troubles.py
@@ -19,7 +19,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Coroutine, Sequence
 
-    from dunlinnotch.lab.day import TroublePlan
+    from dunlinnotch.lab.day import FaultPlan
     from dunlinnotch.lab.fleet import Fleet, Target
     from dunlinnotch.standins.users.box import BoxProcess
     from dunlinnotch.standins.users.caller import AttemptRecord
@@ -72,7 +72,7 @@
         self.deadly_attempts: list[AttemptRecord] = []
         self.left_attempts: list[AttemptRecord] = []
         self.stops: list[BoxStop] = []
-        self._how: dict[FaultKind, Callable[[TroublePlan], Coroutine[None, None, None]]] = {
+        self._how: dict[FaultKind, Callable[[FaultPlan], Coroutine[None, None, None]]] = {
             FaultKind.BURST: self._burst,
             FaultKind.TARGET_SLOW: self._slow_targets,
             FaultKind.TARGET_CRASH: self._crash_targets,
@@ -101,7 +101,7 @@
             FaultKind.SETTINGS_STORM: self._storm,
         }
 
-    async def cause(self, plan: TroublePlan) -> None:
+    async def cause(self, plan: FaultPlan) -> None:
         """Wait for a trouble's time, cause it, end it, and note when it was."""
         await asyncio.sleep(plan.at)
         began = self._loop.time()
@@ -111,22 +111,22 @@
         await self._how[plan.kind](plan)
         self.windows[place] = Window(plan.kind, began, self._loop.time())
 
-    def _some_targets(self, plan: TroublePlan) -> list[Target]:
+    def _some_targets(self, plan: FaultPlan) -> list[Target]:
         ready = [t for t in self._fleet.targets if not t.ending]
         return _some(ready, plan.share, self._rng)
 
-    def _some_boxes(self, plan: TroublePlan) -> list[BoxProcess]:
+    def _some_boxes(self, plan: FaultPlan) -> list[BoxProcess]:
         running = [box for box in self._fleet.boxes if box.running]
         return _some(running, plan.share, self._rng)
 
-    async def _burst(self, plan: TroublePlan) -> None:
+    async def _burst(self, plan: FaultPlan) -> None:
         self.load *= plan.x
         await asyncio.sleep(plan.for_s)
         self.load /= plan.x
 
     # -- targets
 
-    async def _slow_targets(self, plan: TroublePlan) -> None:
+    async def _slow_targets(self, plan: FaultPlan) -> None:
         targets = self._some_targets(plan)
         for target in targets:
             target.worker.settings.slowness = int(_USUAL_SLOWNESS * plan.x)
@@ -134,7 +134,7 @@
         for target in targets:
             target.worker.settings.slowness = _USUAL_SLOWNESS
 
-    async def _crash_targets(self, plan: TroublePlan) -> None:
+    async def _crash_targets(self, plan: FaultPlan) -> None:
         targets = self._some_targets(plan)
         for target in targets:
             target.ending = True
@@ -147,7 +147,7 @@
             service = next(s for s in self._fleet.day.services if s.name == target.service)
             await self._fleet.add_target(service, target.place)
 
-    async def _cut_targets(self, plan: TroublePlan) -> None:
+    async def _cut_targets(self, plan: FaultPlan) -> None:
         targets = self._some_targets(plan)
         silent = plan.kind is FaultKind.TARGET_SILENT
         for target in targets:
@@ -156,7 +156,7 @@
         for target in targets:
             target.link.set_state(LinkState.PASS)
 
-    async def _spoil_answers(self, plan: TroublePlan) -> None:
+    async def _spoil_answers(self, plan: FaultPlan) -> None:
         fault = {
             FaultKind.ANSWER_LOST: WorkerFault.LOST,
             FaultKind.ANSWER_CUT: WorkerFault.CUT,
@@ -173,7 +173,7 @@
         for target in targets:
             target.worker.settings.draw_fault = None
 
-    async def _refuse(self, plan: TroublePlan) -> None:
+    async def _refuse(self, plan: FaultPlan) -> None:
         targets = self._some_targets(plan)
         rests = plan.kind is FaultKind.TARGET_RESTS
         for target in targets:
@@ -184,7 +184,7 @@
             target.worker.settings.turns_away = None
             target.worker.settings.rest = ""
 
-    async def _lie(self, plan: TroublePlan) -> None:
+    async def _lie(self, plan: FaultPlan) -> None:
         targets = self._some_targets(plan)
         for target in targets:
             target.worker.settings.healthy = False
@@ -192,24 +192,24 @@
         for target in targets:
             target.worker.settings.healthy = True
 
-    async def _release(self, plan: TroublePlan) -> None:
+    async def _release(self, plan: FaultPlan) -> None:
         quiet = plan.kind is FaultKind.TARGET_LEAVES
         announce = self._fleet.vanish if quiet else self._fleet.announce_leaving
         for target in self._some_targets(plan):
             if not target.ending:
                 await self._fleet.release(target, announce=announce)
 
-    async def _send_deadly(self, plan: TroublePlan) -> None:
+    async def _send_deadly(self, plan: FaultPlan) -> None:
         # Its caller does not wait as told.
         path = DEADLY + "?draw={}"
         await self._send_alone(plan, path, self.deadly_attempts)
 
-    async def _leave_early(self, plan: TroublePlan) -> None:
+    async def _leave_early(self, plan: FaultPlan) -> None:
         await self._send_alone(plan, "{}/" + LONG, self.left_attempts, leaves_after=_LEAVES_S)
 
     async def _send_alone(
         self,
-        plan: TroublePlan,
+        plan: FaultPlan,
         path: str,
         attempts: list[AttemptRecord],
         *,
@@ -244,7 +244,7 @@
 
     # -- boxes
 
-    async def _kill_boxes(self, plan: TroublePlan) -> None:
+    async def _kill_boxes(self, plan: FaultPlan) -> None:
         boxes = self._some_boxes(plan)
         for box in boxes:
             box.kill()
@@ -253,7 +253,7 @@
             box.start()
         await asyncio.gather(*(box.wait_ready() for box in boxes))
 
-    async def _freeze_boxes(self, plan: TroublePlan) -> None:
+    async def _freeze_boxes(self, plan: FaultPlan) -> None:
         boxes = self._some_boxes(plan)
         for box in boxes:
             box.send_signal(signal.SIGSTOP)
@@ -261,7 +261,7 @@
         for box in boxes:
             box.send_signal(signal.SIGCONT)
 
-    async def _stop_boxes(self, plan: TroublePlan) -> None:
+    async def _stop_boxes(self, plan: FaultPlan) -> None:
         async def stop(box: BoxProcess) -> None:
             box.send_signal(signal.SIGTERM)
             noted = BoxStop(box.name, self._loop.time())
@@ -280,17 +280,17 @@
 
     # -- the store
 
-    async def _store_down(self, plan: TroublePlan) -> None:
+    async def _store_down(self, plan: FaultPlan) -> None:
         self._fleet.store.faults.fault = StoreFault.BUSY
         await asyncio.sleep(plan.for_s)
         self._fleet.store.faults.fault = StoreFault.NONE
 
-    async def _store_slow(self, plan: TroublePlan) -> None:
+    async def _store_slow(self, plan: FaultPlan) -> None:
         self._fleet.store.faults.slow_s = plan.x
         await asyncio.sleep(plan.for_s)
         self._fleet.store.faults.slow_s = 0.0
 
-    async def _cut_store(self, plan: TroublePlan) -> None:
+    async def _cut_store(self, plan: FaultPlan) -> None:
         silent = plan.kind is FaultKind.STORE_SILENT
         links = [self._fleet.store_links[box.name] for box in self._some_boxes(plan)]
         for link in links:
@@ -299,11 +299,11 @@
         for link in links:
             link.set_state(LinkState.PASS)
 
-    async def _forget(self, plan: TroublePlan) -> None:
+    async def _forget(self, plan: FaultPlan) -> None:
         self._fleet.store.forget_history()
         await asyncio.sleep(plan.for_s)
 
-    async def _bring_back(self, plan: TroublePlan) -> None:
+    async def _bring_back(self, plan: FaultPlan) -> None:
         store = self._fleet.store
         copied = store.now - plan.x
         store.faults.fault = StoreFault.RESET
@@ -316,7 +316,7 @@
 
     # -- settings
 
-    async def _move(self, plan: TroublePlan) -> None:
+    async def _move(self, plan: FaultPlan) -> None:
         movable = [kind for kind in self._fleet.day.kinds if kind.also is not None]
         for kind in movable:
             assert kind.also is not None
@@ -325,7 +325,7 @@
         for kind in movable:
             self._fleet.move(kind.name, kind.service)
 
-    async def _storm(self, plan: TroublePlan) -> None:
+    async def _storm(self, plan: FaultPlan) -> None:
         for _ in range(_STORM_VERSIONS):
             self._fleet.write_settings()
             await asyncio.sleep(_STORM_GAP_S)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -20,9 +20,9 @@
     Bounds,
     Day,
     FaultKind,
+    FaultPlan,
     KindPlan,
     ServicePlan,
-    TroublePlan,
     read_day,
 )
 from dunlinnotch.lab.draw import draw_day
@@ -221,9 +221,9 @@
 def test_a_day_with_a_kill_and_a_move_keeps_the_promises(tmp_path):
     """Real boxes, callers and targets; no figure of time is checked here."""
     plan = day(
-        TroublePlan(kind=FaultKind.BOX_KILL, at=0.5, for_s=0.2, share=0.5),
-        TroublePlan(kind=FaultKind.SETTINGS_MOVE, at=0.2, for_s=1.0),
-        TroublePlan(kind=FaultKind.ANSWER_LOST, at=0.0, for_s=2.0, x=0.2, share=0.5),
+        FaultPlan(kind=FaultKind.BOX_KILL, at=0.5, for_s=0.2, share=0.5),
+        FaultPlan(kind=FaultKind.SETTINGS_MOVE, at=0.2, for_s=1.0),
+        FaultPlan(kind=FaultKind.ANSWER_LOST, at=0.0, for_s=2.0, x=0.2, share=0.5),
     )
     told = []
     seen = asyncio.run(play(plan, tmp_path, progress=told.append))
@@ -239,8 +239,8 @@
 
 def test_a_target_that_crashes_amid_a_release_ends_once(tmp_path):
     plan = day(
-        TroublePlan(kind=FaultKind.RELEASE, at=0.1, share=1.0),
-        TroublePlan(kind=FaultKind.TARGET_CRASH, at=0.2, for_s=0.0, share=1.0),
+        FaultPlan(kind=FaultKind.RELEASE, at=0.1, share=1.0),
+        FaultPlan(kind=FaultKind.TARGET_CRASH, at=0.2, for_s=0.0, share=1.0),
         bounds=Bounds(drain=0.2),
     )
     assert broken(asyncio.run(play(plan, tmp_path))) == []
