--- a/dunlinnotch/cli/lab.py
+++ b/dunlinnotch/cli/lab.py
@@ -13,7 +13,7 @@
 
 from dunlinnotch.cli.common import Exit, FileCommand
 from dunlinnotch.errors import ConfigError
-from dunlinnotch.lab.day import Day, read_day
+from dunlinnotch.lab.day import Scenario, read_day
 from dunlinnotch.lab.draw import draw_day
 from dunlinnotch.lab.plot import plot
 from dunlinnotch.lab.report import LATE_S, DayResult, as_text, compare, load_result
@@ -38,7 +38,7 @@
 class LabCommand(FileCommand):
     """A command that plays days."""
 
-    def play(self, day: Day, logs: Path) -> DayResult:
+    def play(self, day: Scenario, logs: Path) -> DayResult:
         """Play one day and show how far it is."""
         logs.mkdir(parents=True, exist_ok=True)
         try:
--- a/dunlinnotch/lab/day.py
+++ b/dunlinnotch/lab/day.py
@@ -147,7 +147,7 @@
     repeat_window: float = Field(10.0, gt=0)
 
 
-class Day(_Part):
+class Scenario(_Part):
     """One experiment."""
 
     name: str = Field("day", pattern=_NAME)
@@ -161,7 +161,7 @@
     bounds: Bounds = Bounds()
 
     @model_validator(mode="after")
-    def _names_agree(self) -> Day:
+    def _names_agree(self) -> Scenario:
         known = [service.name for service in self.services]
         for kind in self.kinds:
             for name in (kind.service, kind.also):
@@ -175,7 +175,7 @@
         return self
 
 
-def read_day(path: Path) -> Day:
+def read_day(path: Path) -> Scenario:
     """Read and check the file of a day.
 
     Raises
@@ -185,7 +185,7 @@
     """
     try:
         plain = tomllib.loads(path.read_text(encoding="utf-8"))
-        return Day.model_validate(plain)
+        return Scenario.model_validate(plain)
     except (OSError, UnicodeError, tomllib.TOMLDecodeError) as error:
         msg = f"{path}: {error}"
         raise ConfigError(msg) from None
--- a/dunlinnotch/lab/draw.py
+++ b/dunlinnotch/lab/draw.py
@@ -4,7 +4,7 @@
 
 import random
 
-from dunlinnotch.lab.day import Day, FaultKind, FaultPlan, KindPlan, ServicePlan
+from dunlinnotch.lab.day import FaultKind, FaultPlan, KindPlan, Scenario, ServicePlan
 
 _LENGTH_S = 16.0
 #: Troubles begin between these moments of the day, in seconds.
@@ -27,7 +27,7 @@
 }
 
 
-def draw_day(seed: int) -> Day:
+def draw_day(seed: int) -> Scenario:
     """Return the day of a seed.
 
     Parameters
@@ -37,7 +37,7 @@
     rng = random.Random(seed)
     count = rng.randint(*_TROUBLES)
     kinds = rng.sample(list(FaultKind), count)
-    return Day(
+    return Scenario(
         name=f"drawn-{seed}",
         seed=seed,
         length_s=_LENGTH_S,
--- a/dunlinnotch/lab/fleet.py
+++ b/dunlinnotch/lab/fleet.py
@@ -18,7 +18,7 @@
     from collections.abc import Callable
     from pathlib import Path
 
-    from dunlinnotch.lab.day import Day, KindPlan, ServicePlan
+    from dunlinnotch.lab.day import KindPlan, Scenario, ServicePlan
     from dunlinnotch.types import Address, Seconds
 
 HOST = "lab.example"
@@ -69,7 +69,7 @@
         Targets that have ended.
     """
 
-    def __init__(self, day: Day, directory: Path) -> None:
+    def __init__(self, day: Scenario, directory: Path) -> None:
         self.day = day
         self.rng = random.Random(day.seed)
         net = random.SystemRandom()
--- a/dunlinnotch/lab/referee/common.py
+++ b/dunlinnotch/lab/referee/common.py
@@ -13,7 +13,7 @@
 if TYPE_CHECKING:
     from collections.abc import Collection, Iterator, Sequence
 
-    from dunlinnotch.lab.day import Day, KindPlan
+    from dunlinnotch.lab.day import KindPlan, Scenario
     from dunlinnotch.lab.fleet import Target
     from dunlinnotch.standins.users.caller import AttemptRecord
     from dunlinnotch.standins.users.worker import Arrival, Ran
@@ -147,7 +147,7 @@
     stops : sequence of BoxStop
     """
 
-    day: Day
+    day: Scenario
     began: Seconds
     ended: Seconds
     attempts: Sequence[AttemptRecord]
--- a/dunlinnotch/lab/run.py
+++ b/dunlinnotch/lab/run.py
@@ -17,7 +17,7 @@
     from collections.abc import Callable
     from pathlib import Path
 
-    from dunlinnotch.lab.day import Day, KindPlan
+    from dunlinnotch.lab.day import KindPlan, Scenario
     from dunlinnotch.standins.users.caller import AttemptRecord
     from dunlinnotch.types import Seconds
 
@@ -106,7 +106,7 @@
 
 
 async def play(
-    day: Day, directory: Path, *, progress: Callable[[str], None] | None = None
+    day: Scenario, directory: Path, *, progress: Callable[[str], None] | None = None
 ) -> DayResult:
     """Play a day.
 
@@ -160,7 +160,7 @@
 
 
 async def _tell(
-    callers: Callers, began: Seconds, day: Day, progress: Callable[[str], None] | None
+    callers: Callers, began: Seconds, day: Scenario, progress: Callable[[str], None] | None
 ) -> None:
     loop = asyncio.get_running_loop()
     while progress is not None:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -18,10 +18,10 @@
 from dunlinnotch.errors import ConfigError
 from dunlinnotch.lab.day import (
     Bounds,
-    Day,
     FaultKind,
     FaultPlan,
     KindPlan,
+    Scenario,
     ServicePlan,
     read_day,
 )
@@ -204,7 +204,7 @@
 
 
 def day(*troubles, **changes):
-    plan = Day(
+    plan = Scenario(
         length_s=3.0,
         boxes=2,
         places=("hall-a",),
--- a/tests/test_lab_referee.py
+++ b/tests/test_lab_referee.py
@@ -6,14 +6,14 @@
 
 import pytest
 
-from dunlinnotch.lab.day import Bounds, Day, FaultKind, KindPlan, ServicePlan
+from dunlinnotch.lab.day import Bounds, FaultKind, KindPlan, Scenario, ServicePlan
 from dunlinnotch.lab.fleet import Target
 from dunlinnotch.lab.referee import BoxStop, Evidence, Promise, Window
 from dunlinnotch.lab.referee import judge as judge_day
 from dunlinnotch.standins.users.caller import AttemptOutcome, AttemptRecord
 from dunlinnotch.standins.users.worker import Arrival, Ran
 
-DAY = Day(
+DAY = Scenario(
     boxes=2,
     services=(ServicePlan(name="records", targets=1), ServicePlan(name="uploads", targets=1)),
     kinds=(
