--- a/dunlinnotch/lab/day.py
+++ b/dunlinnotch/lab/day.py
@@ -175,7 +175,7 @@
         return self
 
 
-def read_day(path: Path) -> Scenario:
+def read_scenario(path: Path) -> Scenario:
     """Read and check the file of a day.
 
     Raises
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -23,7 +23,7 @@
     KindPlan,
     Scenario,
     ServicePlan,
-    read_day,
+    read_scenario,
 )
 from dunlinnotch.lab.draw import draw_day
 from dunlinnotch.lab.link import FaultyLink, LinkState
@@ -54,7 +54,7 @@
 def test_a_day_is_read_from_its_file(tmp_path):
     file = tmp_path / "day.toml"
     file.write_text(GOOD, encoding="utf-8")
-    day = read_day(file)
+    day = read_scenario(file)
     assert (day.name, day.boxes, day.kinds[0].service) == ("calm", 2, "records")
 
 
@@ -81,7 +81,7 @@
     file = tmp_path / "day.toml"
     file.write_text(GOOD.replace(*change), encoding="utf-8")
     with pytest.raises(ConfigError) as raised:
-        read_day(file)
+        read_scenario(file)
     assert said in str(raised.value)
 
 
@@ -248,7 +248,7 @@
 
 @pytest.mark.parametrize("file", sorted(DAYS.glob("*.toml")), ids=lambda file: file.stem)
 def test_a_day_that_once_broke_a_promise_keeps_it(file, tmp_path):
-    assert broken(asyncio.run(play(read_day(file), tmp_path))) == []
+    assert broken(asyncio.run(play(read_scenario(file), tmp_path))) == []
 
 
 def processes_with(text):
