--- a/dunlinnotch/cli/lab.py
+++ b/dunlinnotch/cli/lab.py
@@ -14,7 +14,7 @@
 from dunlinnotch.cli.common import Exit, FileCommand
 from dunlinnotch.errors import ConfigError
 from dunlinnotch.lab.day import Scenario, read_scenario
-from dunlinnotch.lab.draw import draw_day
+from dunlinnotch.lab.draw import generate_scenario
 from dunlinnotch.lab.plot import plot
 from dunlinnotch.lab.report import LATE_S, DayResult, as_text, compare, load_result
 from dunlinnotch.lab.run import play
@@ -81,7 +81,7 @@
         """Play the day; return FAILED if a promise was broken."""
         file = self.argument("day")
         seed = self.whole("seed", 1, most=2**63)
-        day = draw_day(seed) if file is None else read_scenario(Path(file))
+        day = generate_scenario(seed) if file is None else read_scenario(Path(file))
         with tempfile.TemporaryDirectory() as folder:
             result = self.play(day, Path(self.option("logs") or folder))
         self.line(as_text(result))
@@ -109,7 +109,7 @@
         keep = Path(self.option("keep") or "soak")
         broken = []
         for seed in range(first, first + days):
-            day = draw_day(seed)
+            day = generate_scenario(seed)
             kinds = ", ".join(f"{t.kind.value} at {t.at:g} s" for t in day.troubles)
             with tempfile.TemporaryDirectory() as folder:
                 result = self.play(day, Path(folder))
--- a/dunlinnotch/lab/draw.py
+++ b/dunlinnotch/lab/draw.py
@@ -27,7 +27,7 @@
 }
 
 
-def draw_day(seed: int) -> Scenario:
+def generate_scenario(seed: int) -> Scenario:
     """Return the day of a seed.
 
     Parameters
--- a/tests/test_coverage.py
+++ b/tests/test_coverage.py
@@ -7,7 +7,7 @@
 import pytest
 
 from dunlinnotch.lab.day import FaultKind
-from dunlinnotch.lab.draw import draw_day
+from dunlinnotch.lab.draw import generate_scenario
 from dunlinnotch.lab.referee import Promise
 from tests.mutants import MUTANTS
 from tools.pages import DOCS
@@ -54,5 +54,5 @@
 
 
 def test_each_trouble_is_drawn():
-    drawn = {trouble.kind for seed in range(_SEEDS) for trouble in draw_day(seed).troubles}
+    drawn = {trouble.kind for seed in range(_SEEDS) for trouble in generate_scenario(seed).troubles}
     assert drawn == set(FaultKind)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -25,7 +25,7 @@
     ServicePlan,
     read_scenario,
 )
-from dunlinnotch.lab.draw import draw_day
+from dunlinnotch.lab.draw import generate_scenario
 from dunlinnotch.lab.link import FaultyLink, LinkState
 from dunlinnotch.lab.plot import plot
 from dunlinnotch.lab.referee import TIMED
@@ -86,9 +86,9 @@
 
 
 def test_the_same_seed_draws_the_same_day_and_all_troubles_come_up():
-    assert draw_day(7) == draw_day(7)
-    assert draw_day(7) != draw_day(8)
-    drawn = {trouble.kind for seed in range(60) for trouble in draw_day(seed).troubles}
+    assert generate_scenario(7) == generate_scenario(7)
+    assert generate_scenario(7) != generate_scenario(8)
+    drawn = {trouble.kind for seed in range(60) for trouble in generate_scenario(seed).troubles}
     assert drawn == set(FaultKind)
 
 
