--- a/dunlinnotch/cli/lab.py
+++ b/dunlinnotch/cli/lab.py
@@ -16,7 +16,7 @@
 from dunlinnotch.lab.day import Scenario, read_scenario
 from dunlinnotch.lab.draw import generate_scenario
 from dunlinnotch.lab.plot import plot
-from dunlinnotch.lab.report import LATE_S, DayResult, as_text, compare, load_result
+from dunlinnotch.lab.report import LATE_S, ScenarioResult, as_text, compare, load_result
 from dunlinnotch.lab.run import play
 
 if TYPE_CHECKING:
@@ -27,7 +27,7 @@
 _TERMINATED = 128 + signal.SIGTERM
 
 
-async def _until_terminated(work: Coroutine[None, None, DayResult]) -> DayResult:
+async def _until_terminated(work: Coroutine[None, None, ScenarioResult]) -> ScenarioResult:
     """Await work; the signal that ends the tool ends what the work started first."""
     task = asyncio.current_task()
     assert task is not None
@@ -38,7 +38,7 @@
 class LabCommand(FileCommand):
     """A command that plays days."""
 
-    def play(self, day: Scenario, logs: Path) -> DayResult:
+    def play(self, day: Scenario, logs: Path) -> ScenarioResult:
         """Play one day and show how far it is."""
         logs.mkdir(parents=True, exist_ok=True)
         try:
@@ -124,7 +124,7 @@
         self.line(f"{days} days from seed {first}; broke a promise: {broken or 'none'}")
         return Exit.FAILED if broken else Exit.OK
 
-    def _keep(self, result: DayResult, logs: Path, where: Path) -> None:
+    def _keep(self, result: ScenarioResult, logs: Path, where: Path) -> None:
         where.mkdir(parents=True, exist_ok=True)
         result.save(where / "result.json")
         for log in logs.glob("*.log"):
--- a/dunlinnotch/lab/plot.py
+++ b/dunlinnotch/lab/plot.py
@@ -9,13 +9,13 @@
 if TYPE_CHECKING:
     from pathlib import Path
 
-    from dunlinnotch.lab.report import DayResult
+    from dunlinnotch.lab.report import ScenarioResult
 
 _SIZE_IN = (9.0, 5.0)
 _DOTS_PER_INCH = 110
 
 
-def plot(result: DayResult, file: Path) -> None:
+def plot(result: ScenarioResult, file: Path) -> None:
     """Draw requests asked and served a second, and their p99, into an image file.
 
     Parameters
--- a/dunlinnotch/lab/report.py
+++ b/dunlinnotch/lab/report.py
@@ -48,7 +48,7 @@
 
 
 @dataclass(slots=True)
-class DayResult:
+class ScenarioResult:
     """All that is kept of a day.
 
     Parameters
@@ -74,7 +74,7 @@
         path.write_text(json.dumps(asdict(self), indent=1), encoding="utf-8")
 
 
-def load_result(path: Path) -> DayResult:
+def load_result(path: Path) -> ScenarioResult:
     """Read a result that was saved.
 
     Raises
@@ -84,7 +84,7 @@
     try:
         plain = json.loads(path.read_text(encoding="utf-8"))
         plain["kinds"] = [KindResult(**kind) for kind in plain["kinds"]]
-        return DayResult(**plain)
+        return ScenarioResult(**plain)
     except (OSError, ValueError, KeyError, TypeError) as error:
         msg = f"{path}: no result of a day: {error!r}"
         raise ConfigError(msg) from None
@@ -92,12 +92,12 @@
 
 def summarise(
     evidence: Evidence, findings: Sequence[Finding], *, store_calls: int, tool_late: float
-) -> DayResult:
+) -> ScenarioResult:
     """Return the result of a day."""
     requests: dict[int, list[AttemptRecord]] = {}
     for attempt in evidence.attempts:
         requests.setdefault(attempt.request, []).append(attempt)
-    result = DayResult(
+    result = ScenarioResult(
         name=evidence.day.name,
         seed=evidence.day.seed,
         kinds=[],
@@ -146,7 +146,9 @@
     return round(ordered[min(len(ordered) - 1, int(len(ordered) * part))], 1) if ordered else 0.0
 
 
-def _by_second(result: DayResult, evidence: Evidence, requests: list[list[AttemptRecord]]) -> None:
+def _by_second(
+    result: ScenarioResult, evidence: Evidence, requests: list[list[AttemptRecord]]
+) -> None:
     seconds = int((evidence.ended - evidence.began) / _SECOND_S) + 1
     times: list[list[float]] = [[] for _ in range(seconds)]
     asked = [0] * seconds
@@ -161,7 +163,7 @@
     result.p99_by_second = [_quantile(t, 0.99) for t in times]
 
 
-def as_text(result: DayResult) -> str:
+def as_text(result: ScenarioResult) -> str:
     """Return a result as a table."""
     lines = [
         f"{result.name} (seed {result.seed}): {result.attempts} attempts, "
@@ -184,7 +186,7 @@
     return "\n".join(lines)
 
 
-def compare(first: DayResult, second: DayResult) -> str:
+def compare(first: ScenarioResult, second: ScenarioResult) -> str:
     """Return two results side by side."""
     lines = [f"{'kind':<14}{'figure':<9}{first.name:>16}{second.name:>16}{'change':>9}"]
     others = {kind.kind: kind for kind in second.kinds}
--- a/dunlinnotch/lab/run.py
+++ b/dunlinnotch/lab/run.py
@@ -9,7 +9,7 @@
 
 from dunlinnotch.lab.fleet import HOST, Fleet, prefix_of
 from dunlinnotch.lab.referee import Evidence, judge
-from dunlinnotch.lab.report import DayResult, summarise
+from dunlinnotch.lab.report import ScenarioResult, summarise
 from dunlinnotch.lab.troubles import Troubles
 from dunlinnotch.standins.users.caller import CallerRequestPlan, CallerStandin
 
@@ -107,7 +107,7 @@
 
 async def play(
     day: Scenario, directory: Path, *, progress: Callable[[str], None] | None = None
-) -> DayResult:
+) -> ScenarioResult:
     """Play a day.
 
     Parameters
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -29,7 +29,7 @@
 from dunlinnotch.lab.link import FaultyLink, LinkState
 from dunlinnotch.lab.plot import plot
 from dunlinnotch.lab.referee import TIMED
-from dunlinnotch.lab.report import DayResult, KindResult, as_text, compare, load_result
+from dunlinnotch.lab.report import KindResult, ScenarioResult, as_text, compare, load_result
 from dunlinnotch.lab.run import play
 
 DAYS = Path(__file__).parent / "days"
@@ -151,7 +151,9 @@
 
 def result(**changes):
     kind = KindResult("lookup", asked=10, in_time=8, late=1, failed=1, p50=5.0, p99=20.0)
-    plain = DayResult("one", 1, [kind], ["drain: t1: late"], 100, 20, 12, 0.0, [9], [10], [20.0])
+    plain = ScenarioResult(
+        "one", 1, [kind], ["drain: t1: late"], 100, 20, 12, 0.0, [9], [10], [20.0]
+    )
     return replace(plain, **changes)
 
 
