--- a/dunlinnotch/cli/lab.py
+++ b/dunlinnotch/cli/lab.py
@@ -16,7 +16,7 @@
 from dunlinnotch.lab.day import Scenario, read_scenario
 from dunlinnotch.lab.draw import generate_scenario
 from dunlinnotch.lab.plot import plot
-from dunlinnotch.lab.report import LATE_S, ScenarioResult, as_text, compare, load_result
+from dunlinnotch.lab.report import MAX_SEND_DELAY_S, ScenarioResult, as_text, compare, load_result
 from dunlinnotch.lab.run import play
 
 if TYPE_CHECKING:
@@ -114,7 +114,9 @@
             with tempfile.TemporaryDirectory() as folder:
                 result = self.play(day, Path(folder))
                 late = (
-                    f", tool late by {result.tool_late:.1f} s" if result.tool_late > LATE_S else ""
+                    f", tool late by {result.tool_late:.1f} s"
+                    if result.tool_late > MAX_SEND_DELAY_S
+                    else ""
                 )
                 found = len(result.findings)
                 self.line(f"{day.name}: {found} broken promises{late} ({kinds})")
--- a/dunlinnotch/lab/report.py
+++ b/dunlinnotch/lab/report.py
@@ -18,7 +18,7 @@
 
 _SECOND_S = 1.0
 #: A tool that is later than this does not play the day that it was given, in seconds.
-LATE_S = 0.5
+MAX_SEND_DELAY_S = 0.5
 
 
 @dataclass(slots=True)
@@ -176,7 +176,7 @@
         f"{k.p50:>9.1f}{k.p99:>9.1f}{k.tries:>7.2f}{k.held:>9.1f}"
         for k in result.kinds
     ]
-    if result.tool_late > LATE_S:
+    if result.tool_late > MAX_SEND_DELAY_S:
         lines.append(
             f"the tool itself was late by up to {result.tool_late:.1f} s: the machine was too "
             "busy for times to mean anything; play the day again"
