--- a/dunlinnotch/cli/lab.py
+++ b/dunlinnotch/cli/lab.py
@@ -16,7 +16,13 @@
 from dunlinnotch.lab.day import Scenario, read_scenario
 from dunlinnotch.lab.draw import generate_scenario
 from dunlinnotch.lab.plot import plot
-from dunlinnotch.lab.report import MAX_SEND_DELAY_S, ScenarioResult, as_text, compare, load_result
+from dunlinnotch.lab.report import (
+    MAX_SEND_DELAY_S,
+    ScenarioResult,
+    compare,
+    format_result,
+    load_result,
+)
 from dunlinnotch.lab.run import play
 
 if TYPE_CHECKING:
@@ -84,7 +90,7 @@
         day = generate_scenario(seed) if file is None else read_scenario(Path(file))
         with tempfile.TemporaryDirectory() as folder:
             result = self.play(day, Path(self.option("logs") or folder))
-        self.line(as_text(result))
+        self.line(format_result(result))
         if self.option("save"):
             result.save(Path(self.option("save")))
         return Exit.FAILED if result.findings else Exit.OK
--- a/dunlinnotch/lab/report.py
+++ b/dunlinnotch/lab/report.py
@@ -163,7 +163,7 @@
     result.p99_by_second = [_quantile(t, 0.99) for t in times]
 
 
-def as_text(result: ScenarioResult) -> str:
+def format_result(result: ScenarioResult) -> str:
     """Return a result as a table."""
     lines = [
         f"{result.name} (seed {result.seed}): {result.attempts} attempts, "
