--- a/dunlinnotch/cli/lab.py
+++ b/dunlinnotch/cli/lab.py
@@ -19,7 +19,7 @@
 from dunlinnotch.lab.report import (
     MAX_SEND_DELAY_S,
     ScenarioResult,
-    compare,
+    format_comparison,
     format_result,
     load_result,
 )
@@ -156,7 +156,7 @@
     def act(self) -> Exit:
         """Print the comparison."""
         first, second = (load_result(Path(self.argument(n))) for n in ("first", "second"))
-        self.line(compare(first, second))
+        self.line(format_comparison(first, second))
         return Exit.OK
 
 
--- a/dunlinnotch/lab/report.py
+++ b/dunlinnotch/lab/report.py
@@ -186,7 +186,7 @@
     return "\n".join(lines)
 
 
-def compare(first: ScenarioResult, second: ScenarioResult) -> str:
+def format_comparison(first: ScenarioResult, second: ScenarioResult) -> str:
     """Return two results side by side."""
     lines = [f"{'kind':<14}{'figure':<9}{first.name:>16}{second.name:>16}{'change':>9}"]
     others = {kind.kind: kind for kind in second.kinds}
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -29,7 +29,13 @@
 from dunlinnotch.lab.link import FaultyLink, LinkState
 from dunlinnotch.lab.plot import plot
 from dunlinnotch.lab.referee import TIMED
-from dunlinnotch.lab.report import KindResult, ScenarioResult, compare, format_result, load_result
+from dunlinnotch.lab.report import (
+    KindResult,
+    ScenarioResult,
+    format_comparison,
+    format_result,
+    load_result,
+)
 from dunlinnotch.lab.run import play
 
 DAYS = Path(__file__).parent / "days"
@@ -165,7 +171,7 @@
     assert "the tool itself" not in format_result(result(tool_late=0.1))
     assert "the tool itself was late by up to 2.0 s" in format_result(result(tool_late=2.0))
     better = KindResult("lookup", asked=10, in_time=10, p50=4.0, p99=10.0)
-    text = compare(result(), result(name="two", kinds=[better], findings=[], probes=50))
+    text = format_comparison(result(), result(name="two", kinds=[better], findings=[], probes=50))
     assert "0.80" in text
     assert "+0.20" in text
     assert "-50" in text
--- a/tests/test_lab_report.py
+++ b/tests/test_lab_report.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from dunlinnotch.lab.referee import Evidence
-from dunlinnotch.lab.report import compare, format_result, summarise
+from dunlinnotch.lab.report import format_comparison, format_result, summarise
 from dunlinnotch.standins.users.caller import AttemptOutcome
 from tests.test_lab_referee import DAY, attempt
 
@@ -35,4 +35,4 @@
     assert (lookup.refused, lookup.failed, lookup.late) == (1, 1, 1)
     assert lookup.held == 1020.0
     assert "1020.0" in format_result(result)
-    assert "held ms" in compare(result, result)
+    assert "held ms" in format_comparison(result, result)
