--- a/dunlinnotch/cli/lab.py
+++ b/dunlinnotch/cli/lab.py
@@ -23,7 +23,7 @@
     format_result,
     load_result,
 )
-from dunlinnotch.lab.run import play
+from dunlinnotch.lab.run import run_scenario
 
 if TYPE_CHECKING:
     from collections.abc import Coroutine
@@ -48,7 +48,7 @@
         """Play one day and show how far it is."""
         logs.mkdir(parents=True, exist_ok=True)
         try:
-            return asyncio.run(_until_terminated(play(day, logs, progress=self.line_error)))
+            return asyncio.run(_until_terminated(run_scenario(day, logs, progress=self.line_error)))
         except asyncio.CancelledError:
             raise SystemExit(_TERMINATED) from None
 
--- a/dunlinnotch/lab/run.py
+++ b/dunlinnotch/lab/run.py
@@ -105,7 +105,7 @@
         )
 
 
-async def play(
+async def run_scenario(
     day: Scenario, directory: Path, *, progress: Callable[[str], None] | None = None
 ) -> ScenarioResult:
     """Play a day.
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -36,7 +36,7 @@
     format_result,
     load_result,
 )
-from dunlinnotch.lab.run import play
+from dunlinnotch.lab.run import run_scenario
 
 DAYS = Path(__file__).parent / "days"
 
@@ -234,7 +234,7 @@
         FaultPlan(kind=FaultKind.ANSWER_LOST, at=0.0, for_s=2.0, x=0.2, share=0.5),
     )
     told = []
-    seen = asyncio.run(play(plan, tmp_path, progress=told.append))
+    seen = asyncio.run(run_scenario(plan, tmp_path, progress=told.append))
     assert broken(seen) == []
     asked = sum(kind.asked for kind in seen.kinds)
     served = sum(kind.in_time + kind.late for kind in seen.kinds)
@@ -251,12 +251,12 @@
         FaultPlan(kind=FaultKind.TARGET_CRASH, at=0.2, for_s=0.0, share=1.0),
         bounds=Bounds(drain=0.2),
     )
-    assert broken(asyncio.run(play(plan, tmp_path))) == []
+    assert broken(asyncio.run(run_scenario(plan, tmp_path))) == []
 
 
 @pytest.mark.parametrize("file", sorted(DAYS.glob("*.toml")), ids=lambda file: file.stem)
 def test_a_day_that_once_broke_a_promise_keeps_it(file, tmp_path):
-    assert broken(asyncio.run(play(read_scenario(file), tmp_path))) == []
+    assert broken(asyncio.run(run_scenario(read_scenario(file), tmp_path))) == []
 
 
 def processes_with(text):
