--- a/dunlinnotch/lab/run.py
+++ b/dunlinnotch/lab/run.py
@@ -10,7 +10,7 @@
 from dunlinnotch.lab.fleet import HOST, Fleet, prefix_of
 from dunlinnotch.lab.referee import Evidence, judge
 from dunlinnotch.lab.report import ScenarioResult, summarise
-from dunlinnotch.lab.troubles import Troubles
+from dunlinnotch.lab.troubles import FaultInjector
 from dunlinnotch.standins.users.caller import CallerRequestPlan, CallerStandin
 
 if TYPE_CHECKING:
@@ -40,7 +40,7 @@
         Tells how much callers send now.
     """
 
-    def __init__(self, fleet: Fleet, troubles: Troubles) -> None:
+    def __init__(self, fleet: Fleet, troubles: FaultInjector) -> None:
         self._fleet = fleet
         self._troubles = troubles
         self._rng = random.Random(fleet.day.seed + 2)
@@ -124,7 +124,7 @@
     """
     loop = asyncio.get_running_loop()
     async with Fleet(day, directory) as fleet:
-        troubles = Troubles(fleet)
+        troubles = FaultInjector(fleet)
         callers = Callers(fleet, troubles)
         began = loop.time()
         causing = [asyncio.ensure_future(troubles.cause(plan)) for plan in day.troubles]
--- a/dunlinnotch/lab/troubles.py
+++ b/dunlinnotch/lab/troubles.py
@@ -42,7 +42,7 @@
 _STOP_GAP_S = 1.0
 
 
-class Troubles:
+class FaultInjector:
     """The troubles of one day.
 
     Parameters
