--- a/dunlinnotch/lab/referee/__init__.py
+++ b/dunlinnotch/lab/referee/__init__.py
@@ -8,9 +8,17 @@
 from __future__ import annotations
 
 from dunlinnotch.lab.referee import answers, budgets, settings, stops, work
-from dunlinnotch.lab.referee.common import TIMED, BoxStop, Evidence, Finding, Promise, Seen, Window
+from dunlinnotch.lab.referee.common import (
+    TIMED,
+    BoxStop,
+    Evidence,
+    Finding,
+    Guarantee,
+    Seen,
+    Window,
+)
 
-__all__ = ["TIMED", "BoxStop", "Evidence", "Finding", "Promise", "Window", "judge"]
+__all__ = ["TIMED", "BoxStop", "Evidence", "Finding", "Guarantee", "Window", "judge"]
 
 _CHECKS = (answers.check, work.check, settings.check, stops.check, budgets.check)
 
--- a/dunlinnotch/lab/referee/answers.py
+++ b/dunlinnotch/lab/referee/answers.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from dunlinnotch.lab.referee.common import Finding, Promise
+from dunlinnotch.lab.referee.common import Finding, Guarantee
 from dunlinnotch.standins.users.caller import PROMISES, AttemptOutcome
 
 if TYPE_CHECKING:
@@ -30,19 +30,19 @@
     if attempt.outcome is not AttemptOutcome.ANSWERED:
         return
     if attempt.named and attempt.named != attempt.id:
-        yield Finding(Promise.WHOLE, attempt.id, f"got the answer to {attempt.named}")
+        yield Finding(Guarantee.WHOLE, attempt.id, f"got the answer to {attempt.named}")
     if not attempt.succeeded:
         return
     bodies = {f"{t.worker.instance} ran {attempt.id}" for t, _ in seen.ran[attempt.id]}
     if not attempt.sealed or attempt.body.decode("latin-1") not in bodies:
-        yield Finding(Promise.WHOLE, attempt.id, f"got {attempt.body[:60]!r}")
+        yield Finding(Guarantee.WHOLE, attempt.id, f"got {attempt.body[:60]!r}")
 
 
 def _not_run(seen: Seen, attempt: AttemptRecord) -> Iterator[Finding]:
     refused = attempt.outcome is AttemptOutcome.ANSWERED and attempt.status in PROMISES
     if refused and not seen.kinds[attempt.kind].repeatable and seen.ran[attempt.id]:
         where = seen.ran[attempt.id][0][0].worker.instance
-        yield Finding(Promise.NOT_RUN, attempt.id, f"{attempt.status}, yet {where} ran it")
+        yield Finding(Guarantee.NOT_RUN, attempt.id, f"{attempt.status}, yet {where} ran it")
 
 
 def _in_time(seen: Seen, attempt: AttemptRecord) -> Iterator[Finding]:
@@ -51,11 +51,11 @@
     allowed = seen.kinds[attempt.kind].deadline_ms / 1000 + _HELD_S
     if attempt.ended - attempt.sent > allowed:
         held = attempt.ended - attempt.sent
-        yield Finding(Promise.IN_TIME, attempt.id, f"held {held:.2f} s at {attempt.box}")
+        yield Finding(Guarantee.IN_TIME, attempt.id, f"held {held:.2f} s at {attempt.box}")
 
 
 def _denied(attempt: AttemptRecord) -> Iterator[Finding]:
     """Check that no request ends with a 3xx or 4xx; targets here give none, and all is proper."""
     turned_down = 300 <= attempt.status < 500 and attempt.status not in PROMISES
     if attempt.outcome is AttemptOutcome.ANSWERED and turned_down:
-        yield Finding(Promise.DENIED, attempt.id, f"{attempt.status} from {attempt.box}")
+        yield Finding(Guarantee.DENIED, attempt.id, f"{attempt.status} from {attempt.box}")
--- a/dunlinnotch/lab/referee/budgets.py
+++ b/dunlinnotch/lab/referee/budgets.py
@@ -5,7 +5,7 @@
 from collections import Counter, defaultdict
 from typing import TYPE_CHECKING
 
-from dunlinnotch.lab.referee.common import Finding, Promise
+from dunlinnotch.lab.referee.common import Finding, Guarantee
 
 if TYPE_CHECKING:
     from collections.abc import Iterator, Sequence
@@ -27,7 +27,7 @@
         rate = target.worker.probes / seconds
         if rate > seen.day.bounds.probes_per_s:
             detail = f"{rate:.1f} probes a second"
-            yield Finding(Promise.PROBES, target.worker.instance, detail)
+            yield Finding(Guarantee.PROBES, target.worker.instance, detail)
 
 
 def _tries(seen: Seen) -> Iterator[Finding]:
@@ -37,7 +37,7 @@
     for request_id, count in tries.items():
         attempt = seen.attempts.get(request_id)
         if attempt is not None and count > seen.kinds[attempt.kind].attempts:
-            yield Finding(Promise.TRIES, request_id, f"reached {count} targets")
+            yield Finding(Guarantee.TRIES, request_id, f"reached {count} targets")
 
 
 def _repeats(seen: Seen) -> Iterator[Finding]:
@@ -54,7 +54,7 @@
             )
             if repeats > bounds.repeat_ratio * requests + bounds.repeat_slack:
                 detail = f"{repeats} repeats of {requests} requests in {bounds.repeat_window:g} s"
-                yield Finding(Promise.REPEATS, service, detail)
+                yield Finding(Guarantee.REPEATS, service, detail)
                 break
 
 
--- a/dunlinnotch/lab/referee/common.py
+++ b/dunlinnotch/lab/referee/common.py
@@ -33,7 +33,7 @@
 )
 
 
-class Promise(StrEnum):
+class Guarantee(StrEnum):
     """What must hold."""
 
     #: The whole answer, to its own request only.
@@ -77,16 +77,16 @@
 #: Promises with a time in them: on a machine that is too busy they may seem broken.
 TIMED = frozenset(
     {
-        Promise.DRAIN,
-        Promise.SETTINGS,
-        Promise.NOT_READY,
-        Promise.IN_TIME,
-        Promise.BARRED,
-        Promise.REST,
-        Promise.GONE,
-        Promise.TIME_GIVEN,
-        Promise.PROBES,
-        Promise.RECOVERY,
+        Guarantee.DRAIN,
+        Guarantee.SETTINGS,
+        Guarantee.NOT_READY,
+        Guarantee.IN_TIME,
+        Guarantee.BARRED,
+        Guarantee.REST,
+        Guarantee.GONE,
+        Guarantee.TIME_GIVEN,
+        Guarantee.PROBES,
+        Guarantee.RECOVERY,
     }
 )
 
@@ -95,7 +95,7 @@
 class Finding:
     """One broken promise."""
 
-    promise: Promise
+    promise: Guarantee
     subject: str
     detail: str
 
--- a/dunlinnotch/lab/referee/settings.py
+++ b/dunlinnotch/lab/referee/settings.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from dunlinnotch.lab.fleet import prefix_of
-from dunlinnotch.lab.referee.common import SLACK_S, Finding, Promise
+from dunlinnotch.lab.referee.common import SLACK_S, Finding, Guarantee
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -41,4 +41,4 @@
             allowed.discard(old)
     if target.service not in allowed:
         detail = f"{kind} {run.request_id} ran at service {target.service}"
-        yield Finding(Promise.SETTINGS, target.worker.instance, detail)
+        yield Finding(Guarantee.SETTINGS, target.worker.instance, detail)
--- a/dunlinnotch/lab/referee/stops.py
+++ b/dunlinnotch/lab/referee/stops.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from dunlinnotch.lab.day import FaultKind
-from dunlinnotch.lab.referee.common import SLACK_S, Finding, Promise
+from dunlinnotch.lab.referee.common import SLACK_S, Finding, Guarantee
 from dunlinnotch.standins.users.caller import AttemptOutcome
 
 if TYPE_CHECKING:
@@ -40,7 +40,7 @@
         troubled = seen.troubled({FaultKind.BOX_FREEZE}, stop.asked, limit)
         if stop.not_ready > limit and seen.evidence.ended > limit and not troubled:
             detail = f"ready {_NOT_READY_S:g} s after it was asked to stop"
-            yield Finding(Promise.NOT_READY, stop.box, detail)
+            yield Finding(Guarantee.NOT_READY, stop.box, detail)
 
 
 def _stop(seen: Seen, attempt: AttemptRecord) -> Iterator[Finding]:
@@ -52,7 +52,7 @@
     read = bool(seen.ran[attempt.id]) or attempt.ended - attempt.sent > _READ_S
     if read:
         took = attempt.ended - attempt.sent
-        yield Finding(Promise.STOP, attempt.id, f"cut at {attempt.box} after {took:.2f} s")
+        yield Finding(Guarantee.STOP, attempt.id, f"cut at {attempt.box} after {took:.2f} s")
 
 
 def _recovery(seen: Seen) -> Iterator[Finding]:
@@ -67,4 +67,4 @@
     share = requests[True] / max(1, requests.total())
     if requests.total() >= _ENOUGH and share < _RECOVERED:
         detail = f"{share:.0%} of {requests.total()} served"
-        yield Finding(Promise.RECOVERY, "all callers", detail)
+        yield Finding(Guarantee.RECOVERY, "all callers", detail)
--- a/dunlinnotch/lab/referee/work.py
+++ b/dunlinnotch/lab/referee/work.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from dunlinnotch.lab.fleet import LONG_S
-from dunlinnotch.lab.referee.common import BOX_OR_LINK, SLACK_S, Finding, Promise
+from dunlinnotch.lab.referee.common import BOX_OR_LINK, SLACK_S, Finding, Guarantee
 from dunlinnotch.standins.users.caller import AttemptOutcome
 
 if TYPE_CHECKING:
@@ -54,7 +54,7 @@
         if attempt is None or seen.kinds[attempt.kind].repeatable or len(runs) < 2:
             continue
         where = ", ".join(target.worker.instance for target, _ in runs)
-        yield Finding(Promise.ONCE, request_id, f"ran at {where}")
+        yield Finding(Guarantee.ONCE, request_id, f"ran at {where}")
 
 
 def _as_sent(seen: Seen) -> Iterator[Finding]:
@@ -62,10 +62,10 @@
         attempt = seen.attempts.get(request_id)
         for target, run in runs:
             if attempt is None:
-                yield Finding(Promise.AS_SENT, request_id, "no caller sent it")
+                yield Finding(Guarantee.AS_SENT, request_id, "no caller sent it")
             elif (run.method, run.path) != (attempt.method, attempt.path):
                 detail = f"{target.worker.instance} ran {run.method} {run.path}"
-                yield Finding(Promise.AS_SENT, request_id, detail)
+                yield Finding(Guarantee.AS_SENT, request_id, detail)
 
 
 def _drain(seen: Seen) -> Iterator[Finding]:
@@ -78,7 +78,7 @@
             late = run.arrived - allowed
             if late > 0 and not seen.unplanned(target.leaving_at - bounds.contact, allowed):
                 detail = f"{run.request_id} reached it {late:.2f} s too late"
-                yield Finding(Promise.DRAIN, target.worker.instance, detail)
+                yield Finding(Guarantee.DRAIN, target.worker.instance, detail)
 
 
 def _barred(seen: Seen) -> Iterator[Finding]:
@@ -99,7 +99,7 @@
     ]
     if len(late) > _ENDED_MOST:
         detail = f"{len(runs)} ended under one request, {len(late)} of them too late"
-        yield Finding(Promise.BARRED, late[-1][1], detail)
+        yield Finding(Guarantee.BARRED, late[-1][1], detail)
 
 
 def _time_given(seen: Seen) -> Iterator[Finding]:
@@ -126,7 +126,7 @@
                 beyond = max(beyond, arrival.at + arrival.given - end)
             if beyond > _GIVEN_S:
                 detail = f"a target was given {beyond:.2f} s more than its caller has"
-                yield Finding(Promise.TIME_GIVEN, request_id, detail)
+                yield Finding(Guarantee.TIME_GIVEN, request_id, detail)
 
 
 def _gone(seen: Seen) -> Iterator[Finding]:
@@ -143,10 +143,10 @@
             lasting += lasts
             working += lasts and not 0 < run.ended <= over
     if late > _LATE_MOST:
-        yield Finding(Promise.GONE, "callers that left", f"{late} requests were sent on later")
+        yield Finding(Guarantee.GONE, "callers that left", f"{late} requests were sent on later")
     if lasting >= _LASTING_LEAST and working > lasting * _WORKING_SHARE:
         detail = f"{working} of {lasting} requests were still worked on"
-        yield Finding(Promise.GONE, "callers that left", detail)
+        yield Finding(Guarantee.GONE, "callers that left", detail)
 
 
 def _rest(
@@ -161,7 +161,7 @@
         got = sum(since < arrival.at < over for arrival in arrivals)
         if got > _IN_REST_MOST and not seen.troubled(BOX_OR_LINK, asked.answered_at, over):
             detail = f"got {got} requests from {box} in {asked.rest:g} s of rest"
-            yield Finding(Promise.REST, target.worker.instance, detail)
+            yield Finding(Guarantee.REST, target.worker.instance, detail)
 
 
 def _drain_as_told(
@@ -176,4 +176,4 @@
         sent = seen.attempts[arrival.request_id].sent
         if sent > limit and not seen.troubled(BOX_OR_LINK, told, arrival.at):
             detail = f"{arrival.request_id} came from {box} {sent - told:.2f} s after its word"
-            yield Finding(Promise.DRAIN, target.worker.instance, detail)
+            yield Finding(Guarantee.DRAIN, target.worker.instance, detail)
--- a/tests/test_coverage.py
+++ b/tests/test_coverage.py
@@ -8,7 +8,7 @@
 
 from dunlinnotch.lab.day import FaultKind
 from dunlinnotch.lab.draw import generate_scenario
-from dunlinnotch.lab.referee import Promise
+from dunlinnotch.lab.referee import Guarantee
 from tests.mutants import MUTANTS
 from tools.pages import DOCS
 
@@ -36,7 +36,7 @@
 
 
 def test_each_promise_of_the_referee_has_a_row():
-    assert {name for row in ROWS for name in named(row[3])} == {p.value for p in Promise}
+    assert {name for row in ROWS for name in named(row[3])} == {p.value for p in Guarantee}
 
 
 def test_each_row_that_is_judged_is_played():
--- a/tests/test_lab_referee.py
+++ b/tests/test_lab_referee.py
@@ -8,7 +8,7 @@
 
 from dunlinnotch.lab.day import Bounds, FaultKind, KindPlan, Scenario, ServicePlan
 from dunlinnotch.lab.fleet import Target
-from dunlinnotch.lab.referee import BoxStop, Evidence, Promise, Window
+from dunlinnotch.lab.referee import BoxStop, Evidence, Guarantee, Window
 from dunlinnotch.lab.referee import judge as judge_day
 from dunlinnotch.standins.users.caller import AttemptOutcome, AttemptRecord
 from dunlinnotch.standins.users.worker import Arrival, Ran
@@ -82,13 +82,13 @@
 def test_an_answer_that_is_not_the_whole_own_one(seen):
     one = target()
     run_at(one, "a1")
-    assert judge([attempt("a1", **seen)], [one]) == [Promise.WHOLE]
+    assert judge([attempt("a1", **seen)], [one]) == [Guarantee.WHOLE]
 
 
 def test_an_answer_with_another_s_name():
     one = target()
     run_at(one, "a1")
-    assert judge([attempt("a1", named="a2", status=500)], [one]) == [Promise.WHOLE]
+    assert judge([attempt("a1", named="a2", status=500)], [one]) == [Guarantee.WHOLE]
 
 
 @pytest.mark.parametrize("status", [408, 421, 429, 503])
@@ -96,10 +96,10 @@
     one = target()
     run_at(one, "a1", kind="payment")
     refused = attempt("a1", kind="payment", status=status)
-    assert judge([refused], [one]) == [Promise.NOT_RUN]
+    assert judge([refused], [one]) == [Guarantee.NOT_RUN]
     run_at(one, "a2")
     lookup = attempt("a2", status=status)
-    assert judge([lookup], [one]) == [Promise.AS_SENT], "a1 was sent by nobody here"
+    assert judge([lookup], [one]) == [Guarantee.AS_SENT], "a1 was sent by nobody here"
 
 
 def test_what_may_not_be_repeated_ran_twice():
@@ -108,7 +108,7 @@
         run_at(where, "a1", kind="payment")
         run_at(where, "a2")
     attempts = [attempt("a1", kind="payment"), attempt("a2")]
-    assert judge(attempts, [one, two]) == [Promise.ONCE]
+    assert judge(attempts, [one, two]) == [Guarantee.ONCE]
 
 
 @pytest.mark.parametrize(
@@ -118,23 +118,23 @@
 def test_what_ran_is_not_what_was_sent(ran):
     one = target()
     run_at(one, "a1", **ran)
-    assert judge([attempt("a1")], [one]) == [Promise.AS_SENT]
+    assert judge([attempt("a1")], [one]) == [Guarantee.AS_SENT]
 
 
 def test_a_request_that_nobody_sent():
     one = target()
     run_at(one, "a9")
-    assert judge([], [one]) == [Promise.AS_SENT]
+    assert judge([], [one]) == [Guarantee.AS_SENT]
 
 
 @pytest.mark.parametrize(
     ("arrived", "windows", "found"),
     [
         (12.0, [], []),
-        (12.5, [], [Promise.DRAIN]),
-        (12.5, [Window(FaultKind.RELEASE, 0.0, 30.0)], [Promise.DRAIN]),
+        (12.5, [], [Guarantee.DRAIN]),
+        (12.5, [Window(FaultKind.RELEASE, 0.0, 30.0)], [Guarantee.DRAIN]),
         (12.5, [Window(FaultKind.BOX_KILL, 9.0, 9.5)], []),
-        (12.5, [Window(FaultKind.BOX_KILL, 2.0, 6.5)], [Promise.DRAIN]),
+        (12.5, [Window(FaultKind.BOX_KILL, 2.0, 6.5)], [Guarantee.DRAIN]),
     ],
 )
 def test_a_leaving_target_got_a_request(arrived, windows, found):
@@ -147,10 +147,10 @@
     ("sent", "service", "windows", "found"),
     [
         (11.0, "records", [], []),
-        (13.0, "records", [], [Promise.SETTINGS]),
+        (13.0, "records", [], [Guarantee.SETTINGS]),
         (13.0, "records", [Window(FaultKind.STORE_DOWN, 9.0, 11.0)], []),
         (13.0, "uploads", [], []),
-        (9.0, "uploads", [], [Promise.SETTINGS]),
+        (9.0, "uploads", [], [Guarantee.SETTINGS]),
     ],
 )
 def test_a_request_that_ran_by_old_settings(sent, service, windows, found):
@@ -164,7 +164,7 @@
 @pytest.mark.parametrize(
     ("windows", "found"),
     [
-        ([Window(FaultKind.BOX_STOP, 8.0, 12.0)], [Promise.STOP]),
+        ([Window(FaultKind.BOX_STOP, 8.0, 12.0)], [Guarantee.STOP]),
         ([Window(FaultKind.BOX_KILL, 8.0, 9.0)], []),
     ],
 )
@@ -182,16 +182,16 @@
 def test_a_request_held_beyond_its_time():
     one = target()
     run_at(one, "a1")
-    assert judge([attempt("a1", took=2.6)], [one]) == [Promise.IN_TIME]
+    assert judge([attempt("a1", took=2.6)], [one]) == [Guarantee.IN_TIME]
     assert judge([attempt("a1", took=2.4)], [one]) == []
 
 
 def test_more_probes_than_the_budget():
-    assert judge([], [target(probes=301)]) == [Promise.PROBES]
+    assert judge([], [target(probes=301)]) == [Guarantee.PROBES]
     assert judge([], [target(probes=299)]) == []
 
 
-@pytest.mark.parametrize(("served", "found"), [(29, []), (20, [Promise.RECOVERY])])
+@pytest.mark.parametrize(("served", "found"), [(29, []), (20, [Guarantee.RECOVERY])])
 def test_callers_that_are_not_served_again(served, found):
     one = target()
     attempts = []
@@ -210,8 +210,8 @@
     ("late", "windows", "broken"),
     [
         (3, (), []),
-        (4, (), [Promise.BARRED]),
-        (4, [Window(FaultKind.DEADLY_REQUEST, 0.0, 30.0)], [Promise.BARRED]),
+        (4, (), [Guarantee.BARRED]),
+        (4, [Window(FaultKind.DEADLY_REQUEST, 0.0, 30.0)], [Guarantee.BARRED]),
         (4, [Window(FaultKind.STORE_DOWN, 0.0, 30.0)], []),
     ],
 )
@@ -237,14 +237,14 @@
 @pytest.mark.parametrize(
     ("times", "box", "windows", "found"),
     [
-        ([11.0, 11.5, 12.0], BOX, [], [Promise.REST]),
+        ([11.0, 11.5, 12.0], BOX, [], [Guarantee.REST]),
         ([11.0, 12.0], BOX, [], []),
         ([10.1, 10.2, 10.3, 12.0, 12.5], BOX, [], []),
         ([13.1, 13.2, 13.3], BOX, [], []),
         ([11.0, 11.5, 12.0], "127.0.0.1:2", [], []),
         ([11.0, 11.5, 12.0], BOX, [Window(FaultKind.BOX_STOP, 10.5, 11.0)], []),
-        ([11.0, 11.5, 12.0], BOX, [Window(FaultKind.BOX_FREEZE, 2.0, 5.0)], [Promise.REST]),
-        ([11.0, 11.5, 12.0], BOX, [Window(FaultKind.STORE_DOWN, 9.0, 15.0)], [Promise.REST]),
+        ([11.0, 11.5, 12.0], BOX, [Window(FaultKind.BOX_FREEZE, 2.0, 5.0)], [Guarantee.REST]),
+        ([11.0, 11.5, 12.0], BOX, [Window(FaultKind.STORE_DOWN, 9.0, 15.0)], [Guarantee.REST]),
     ],
 )
 def test_a_target_that_asked_for_rest_got_requests(times, box, windows, found):
@@ -257,9 +257,9 @@
     ("at", "box", "windows", "found"),
     [
         (12.2, BOX, [], []),
-        (12.5, BOX, [], [Promise.DRAIN]),
+        (12.5, BOX, [], [Guarantee.DRAIN]),
         (12.5, "127.0.0.1:2", [], []),
-        (12.5, BOX, [Window(FaultKind.STORE_DOWN, 9.0, 15.0)], [Promise.DRAIN]),
+        (12.5, BOX, [Window(FaultKind.STORE_DOWN, 9.0, 15.0)], [Guarantee.DRAIN]),
         (12.5, BOX, [Window(FaultKind.BOX_KILL, 11.0, 12.0)], []),
     ],
 )
@@ -269,7 +269,7 @@
     assert judge(seen, [one], windows=windows) == found
 
 
-@pytest.mark.parametrize(("targets", "found"), [(3, []), (4, [Promise.TRIES])])
+@pytest.mark.parametrize(("targets", "found"), [(3, []), (4, [Guarantee.TRIES])])
 def test_a_request_that_went_to_more_targets_than_its_kind_allows(targets, found):
     reached = [target(f"t{n}") for n in range(targets)]
     for one in reached:
@@ -279,7 +279,7 @@
 
 @pytest.mark.parametrize(
     ("repeats", "apart", "found"),
-    [(62, 0.0, []), (63, 0.0, [Promise.REPEATS]), (63, 0.2, [])],
+    [(62, 0.0, []), (63, 0.0, [Guarantee.REPEATS]), (63, 0.2, [])],
 )
 def test_more_repeats_than_the_budget(repeats, apart, found):
     """Ten requests allow two repeats, and sixty beside."""
@@ -298,12 +298,12 @@
     [
         (2.0, None, [], []),
         (2.4, None, [], []),
-        (2.6, None, [], [Promise.TIME_GIVEN]),
+        (2.6, None, [], [Guarantee.TIME_GIVEN]),
         (2.6, None, [Window(FaultKind.BOX_FREEZE, 8.0, 9.0)], []),
-        (2.6, None, [Window(FaultKind.BURST, 8.0, 20.0)], [Promise.TIME_GIVEN]),
+        (2.6, None, [Window(FaultKind.BURST, 8.0, 20.0)], [Guarantee.TIME_GIVEN]),
         (2.0, (10.4, 2.0), [], []),
         (2.0, (11.0, 1.4), [], []),
-        (2.0, (11.0, 1.6), [], [Promise.TIME_GIVEN]),
+        (2.0, (11.0, 1.6), [], [Guarantee.TIME_GIVEN]),
         (2.3, (11.0, 1.7), [], []),
     ],
 )
@@ -321,11 +321,11 @@
     [
         ([10.7, 10.7, 10.7, 10.7], [], []),
         ([12.0, 10.7, 10.7, 10.7], [], []),
-        ([12.0, 12.0, 10.7, 10.7], [], [Promise.GONE]),
-        ([0.0, 0.0, 10.7, 10.7], [], [Promise.GONE]),
+        ([12.0, 12.0, 10.7, 10.7], [], [Guarantee.GONE]),
+        ([0.0, 0.0, 10.7, 10.7], [], [Guarantee.GONE]),
         ([12.0, 12.0, 12.0], [], []),
         ([12.0] * 4, [Window(FaultKind.TARGET_SILENT, 8.0, 11.0)], []),
-        ([12.0] * 4, [Window(FaultKind.CALLER_LEAVES, 8.0, 11.0)], [Promise.GONE]),
+        ([12.0] * 4, [Window(FaultKind.CALLER_LEAVES, 8.0, 11.0)], [Guarantee.GONE]),
     ],
 )
 def test_work_that_goes_on_after_its_caller_has_left(ends, windows, found):
@@ -338,7 +338,7 @@
     assert judge([], [one], windows=windows, left=left) == found
 
 
-@pytest.mark.parametrize(("late", "found"), [(3, []), (4, [Promise.GONE])])
+@pytest.mark.parametrize(("late", "found"), [(3, []), (4, [Guarantee.GONE])])
 def test_requests_that_are_sent_on_after_their_callers_have_left(late, found):
     one = target()
     for number in range(late):
@@ -348,7 +348,8 @@
 
 
 @pytest.mark.parametrize(
-    ("status", "found"), [(404, [Promise.DENIED]), (307, [Promise.DENIED]), (429, []), (502, [])]
+    ("status", "found"),
+    [(404, [Guarantee.DENIED]), (307, [Guarantee.DENIED]), (429, []), (502, [])],
 )
 def test_a_proper_request_that_is_turned_down(status, found):
     assert judge([attempt("a1", status=status)], []) == found
@@ -358,10 +359,10 @@
     ("not_ready", "windows", "found"),
     [
         (13.9, (), []),
-        (14.5, (), [Promise.NOT_READY]),
-        (float("inf"), (), [Promise.NOT_READY]),
+        (14.5, (), [Guarantee.NOT_READY]),
+        (float("inf"), (), [Guarantee.NOT_READY]),
         (14.5, (Window(FaultKind.BOX_FREEZE, 12.0, 13.0),), []),
-        (14.5, (Window(FaultKind.STORE_DOWN, 12.0, 13.0),), [Promise.NOT_READY]),
+        (14.5, (Window(FaultKind.STORE_DOWN, 12.0, 13.0),), [Guarantee.NOT_READY]),
     ],
 )
 def test_a_box_that_is_asked_to_stop_is_not_ready_in_time(not_ready, windows, found):
@@ -376,4 +377,4 @@
     one = target()
     run_at(one, "a1", arrived=15.0)
     moves = {"lookup": [(0.0, "records"), (10.0, "uploads"), (20.0, "records")]}
-    assert judge([attempt("a1", sent=15.0)], [one], moves=moves) == [Promise.SETTINGS]
+    assert judge([attempt("a1", sent=15.0)], [one], moves=moves) == [Guarantee.SETTINGS]
