--- a/dunlinnotch/lab/referee/__init__.py
+++ b/dunlinnotch/lab/referee/__init__.py
@@ -12,18 +12,18 @@
     TIMED,
     BoxStop,
     Evidence,
-    Finding,
     Guarantee,
     Seen,
+    Violation,
     Window,
 )
 
-__all__ = ["TIMED", "BoxStop", "Evidence", "Finding", "Guarantee", "Window", "judge"]
+__all__ = ["TIMED", "BoxStop", "Evidence", "Violation", "Guarantee", "Window", "judge"]
 
 _CHECKS = (answers.check, work.check, settings.check, stops.check, budgets.check)
 
 
-def judge(evidence: Evidence) -> list[Finding]:
+def judge(evidence: Evidence) -> list[Violation]:
     """Return all broken promises of one day."""
     seen = Seen(evidence)
     return [finding for check in _CHECKS for finding in check(seen)]
--- a/dunlinnotch/lab/referee/budgets.py
+++ b/dunlinnotch/lab/referee/budgets.py
@@ -5,7 +5,7 @@
 from collections import Counter, defaultdict
 from typing import TYPE_CHECKING
 
-from dunlinnotch.lab.referee.common import Finding, Guarantee
+from dunlinnotch.lab.referee.common import Guarantee, Violation
 
 if TYPE_CHECKING:
     from collections.abc import Iterator, Sequence
@@ -14,33 +14,33 @@
     from dunlinnotch.types import Seconds
 
 
-def check(seen: Seen) -> Iterator[Finding]:
+def check(seen: Seen) -> Iterator[Violation]:
     """Yield what went beyond a budget."""
     yield from _probes(seen)
     yield from _tries(seen)
     yield from _repeats(seen)
 
 
-def _probes(seen: Seen) -> Iterator[Finding]:
+def _probes(seen: Seen) -> Iterator[Violation]:
     for target in seen.evidence.targets:
         seconds = max(1.0, seen.evidence.ended - seen.evidence.began)
         rate = target.worker.probes / seconds
         if rate > seen.day.bounds.probes_per_s:
             detail = f"{rate:.1f} probes a second"
-            yield Finding(Guarantee.PROBES, target.worker.instance, detail)
+            yield Violation(Guarantee.PROBES, target.worker.instance, detail)
 
 
-def _tries(seen: Seen) -> Iterator[Finding]:
+def _tries(seen: Seen) -> Iterator[Violation]:
     tries: Counter[str] = Counter()
     for target in seen.evidence.targets:
         tries.update({arrival.request_id for arrival in target.worker.arrivals})
     for request_id, count in tries.items():
         attempt = seen.attempts.get(request_id)
         if attempt is not None and count > seen.kinds[attempt.kind].attempts:
-            yield Finding(Guarantee.TRIES, request_id, f"reached {count} targets")
+            yield Violation(Guarantee.TRIES, request_id, f"reached {count} targets")
 
 
-def _repeats(seen: Seen) -> Iterator[Finding]:
+def _repeats(seen: Seen) -> Iterator[Violation]:
     """Check what arrived at each service beyond the first of each request, in each window."""
     bounds = seen.day.bounds
     for service, times in _repeats_of_services(seen).items():
@@ -54,7 +54,7 @@
             )
             if repeats > bounds.repeat_ratio * requests + bounds.repeat_slack:
                 detail = f"{repeats} repeats of {requests} requests in {bounds.repeat_window:g} s"
-                yield Finding(Guarantee.REPEATS, service, detail)
+                yield Violation(Guarantee.REPEATS, service, detail)
                 break
 
 
--- a/dunlinnotch/lab/referee/common.py
+++ b/dunlinnotch/lab/referee/common.py
@@ -92,7 +92,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Finding:
+class Violation:
     """One broken promise."""
 
     promise: Guarantee
--- a/dunlinnotch/lab/referee/settings.py
+++ b/dunlinnotch/lab/referee/settings.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from dunlinnotch.lab.fleet import prefix_of
-from dunlinnotch.lab.referee.common import SLACK_S, Finding, Guarantee
+from dunlinnotch.lab.referee.common import SLACK_S, Guarantee, Violation
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -16,7 +16,7 @@
     from dunlinnotch.types import Seconds
 
 
-def check(seen: Seen) -> Iterator[Finding]:
+def check(seen: Seen) -> Iterator[Violation]:
     """Yield what was run by settings no longer, or not yet, in force."""
     for kind, moves in seen.evidence.moves.items():
         prefix = prefix_of(seen.kinds[kind])
@@ -28,7 +28,7 @@
 
 def _by_settings(
     seen: Seen, kind: str, moves: list[tuple[Seconds, str]], target: Target, run: Ran
-) -> Iterator[Finding]:
+) -> Iterator[Violation]:
     attempt = seen.attempts.get(run.request_id)
     if attempt is None:
         return
@@ -41,4 +41,4 @@
             allowed.discard(old)
     if target.service not in allowed:
         detail = f"{kind} {run.request_id} ran at service {target.service}"
-        yield Finding(Guarantee.SETTINGS, target.worker.instance, detail)
+        yield Violation(Guarantee.SETTINGS, target.worker.instance, detail)
--- a/dunlinnotch/lab/referee/stops.py
+++ b/dunlinnotch/lab/referee/stops.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from dunlinnotch.lab.day import FaultKind
-from dunlinnotch.lab.referee.common import SLACK_S, Finding, Guarantee
+from dunlinnotch.lab.referee.common import SLACK_S, Guarantee, Violation
 from dunlinnotch.standins.users.caller import AttemptOutcome
 
 if TYPE_CHECKING:
@@ -25,7 +25,7 @@
 _ENOUGH = 20
 
 
-def check(seen: Seen) -> Iterator[Finding]:
+def check(seen: Seen) -> Iterator[Violation]:
     """Yield what planned stops cut off, and whether callers were served again."""
     for attempt in seen.evidence.attempts:
         yield from _stop(seen, attempt)
@@ -33,17 +33,17 @@
     yield from _recovery(seen)
 
 
-def _not_ready(seen: Seen) -> Iterator[Finding]:
+def _not_ready(seen: Seen) -> Iterator[Violation]:
     """Check that boxes asked to stop are soon taken out of use."""
     for stop in seen.evidence.stops:
         limit = stop.asked + _NOT_READY_S + SLACK_S
         troubled = seen.troubled({FaultKind.BOX_FREEZE}, stop.asked, limit)
         if stop.not_ready > limit and seen.evidence.ended > limit and not troubled:
             detail = f"ready {_NOT_READY_S:g} s after it was asked to stop"
-            yield Finding(Guarantee.NOT_READY, stop.box, detail)
+            yield Violation(Guarantee.NOT_READY, stop.box, detail)
 
 
-def _stop(seen: Seen, attempt: AttemptRecord) -> Iterator[Finding]:
+def _stop(seen: Seen, attempt: AttemptRecord) -> Iterator[Violation]:
     if attempt.outcome is not AttemptOutcome.CUT:
         return
     contact = seen.day.bounds.contact
@@ -52,10 +52,10 @@
     read = bool(seen.ran[attempt.id]) or attempt.ended - attempt.sent > _READ_S
     if read:
         took = attempt.ended - attempt.sent
-        yield Finding(Guarantee.STOP, attempt.id, f"cut at {attempt.box} after {took:.2f} s")
+        yield Violation(Guarantee.STOP, attempt.id, f"cut at {attempt.box} after {took:.2f} s")
 
 
-def _recovery(seen: Seen) -> Iterator[Finding]:
+def _recovery(seen: Seen) -> Iterator[Violation]:
     over = max((w.end for w in seen.evidence.windows), default=seen.evidence.began)
     since = over + seen.day.bounds.recovery
     requests: Counter[bool] = Counter()
@@ -67,4 +67,4 @@
     share = requests[True] / max(1, requests.total())
     if requests.total() >= _ENOUGH and share < _RECOVERED:
         detail = f"{share:.0%} of {requests.total()} served"
-        yield Finding(Guarantee.RECOVERY, "all callers", detail)
+        yield Violation(Guarantee.RECOVERY, "all callers", detail)
--- a/dunlinnotch/lab/referee/work.py
+++ b/dunlinnotch/lab/referee/work.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from dunlinnotch.lab.fleet import LONG_S
-from dunlinnotch.lab.referee.common import BOX_OR_LINK, SLACK_S, Finding, Guarantee
+from dunlinnotch.lab.referee.common import BOX_OR_LINK, SLACK_S, Guarantee, Violation
 from dunlinnotch.standins.users.caller import AttemptOutcome
 
 if TYPE_CHECKING:
@@ -34,7 +34,7 @@
 _LATE_MOST, _WORKING_SHARE, _LASTING_LEAST = 3, 0.25, 4
 
 
-def check(seen: Seen) -> Iterator[Finding]:
+def check(seen: Seen) -> Iterator[Violation]:
     """Yield what is wrong with the work that reached targets."""
     yield from _once(seen)
     yield from _as_sent(seen)
@@ -48,27 +48,27 @@
             yield from _drain_as_told(seen, target, box, arrivals)
 
 
-def _once(seen: Seen) -> Iterator[Finding]:
+def _once(seen: Seen) -> Iterator[Violation]:
     for request_id, runs in seen.ran.items():
         attempt = seen.attempts.get(request_id)
         if attempt is None or seen.kinds[attempt.kind].repeatable or len(runs) < 2:
             continue
         where = ", ".join(target.worker.instance for target, _ in runs)
-        yield Finding(Guarantee.ONCE, request_id, f"ran at {where}")
+        yield Violation(Guarantee.ONCE, request_id, f"ran at {where}")
 
 
-def _as_sent(seen: Seen) -> Iterator[Finding]:
+def _as_sent(seen: Seen) -> Iterator[Violation]:
     for request_id, runs in seen.ran.items():
         attempt = seen.attempts.get(request_id)
         for target, run in runs:
             if attempt is None:
-                yield Finding(Guarantee.AS_SENT, request_id, "no caller sent it")
+                yield Violation(Guarantee.AS_SENT, request_id, "no caller sent it")
             elif (run.method, run.path) != (attempt.method, attempt.path):
                 detail = f"{target.worker.instance} ran {run.method} {run.path}"
-                yield Finding(Guarantee.AS_SENT, request_id, detail)
+                yield Violation(Guarantee.AS_SENT, request_id, detail)
 
 
-def _drain(seen: Seen) -> Iterator[Finding]:
+def _drain(seen: Seen) -> Iterator[Violation]:
     bounds = seen.day.bounds
     for target in seen.evidence.targets:
         if target.leaving_at is None:
@@ -78,10 +78,10 @@
             late = run.arrived - allowed
             if late > 0 and not seen.unplanned(target.leaving_at - bounds.contact, allowed):
                 detail = f"{run.request_id} reached it {late:.2f} s too late"
-                yield Finding(Guarantee.DRAIN, target.worker.instance, detail)
+                yield Violation(Guarantee.DRAIN, target.worker.instance, detail)
 
 
-def _barred(seen: Seen) -> Iterator[Finding]:
+def _barred(seen: Seen) -> Iterator[Violation]:
     """Check that targets are spared once some have ended under a request."""
     contact = seen.day.bounds.contact
     ids = {attempt.id for attempt in seen.evidence.deadly}
@@ -99,10 +99,10 @@
     ]
     if len(late) > _ENDED_MOST:
         detail = f"{len(runs)} ended under one request, {len(late)} of them too late"
-        yield Finding(Guarantee.BARRED, late[-1][1], detail)
+        yield Violation(Guarantee.BARRED, late[-1][1], detail)
 
 
-def _time_given(seen: Seen) -> Iterator[Finding]:
+def _time_given(seen: Seen) -> Iterator[Violation]:
     """Check that no target is given more time than the caller stated, nor more on a repeat.
 
     Notes
@@ -126,10 +126,10 @@
                 beyond = max(beyond, arrival.at + arrival.given - end)
             if beyond > _GIVEN_S:
                 detail = f"a target was given {beyond:.2f} s more than its caller has"
-                yield Finding(Guarantee.TIME_GIVEN, request_id, detail)
+                yield Violation(Guarantee.TIME_GIVEN, request_id, detail)
 
 
-def _gone(seen: Seen) -> Iterator[Finding]:
+def _gone(seen: Seen) -> Iterator[Violation]:
     """Check that what callers have left is neither sent on nor worked on for long."""
     late = lasting = working = 0
     for attempt in seen.evidence.left:
@@ -143,15 +143,15 @@
             lasting += lasts
             working += lasts and not 0 < run.ended <= over
     if late > _LATE_MOST:
-        yield Finding(Guarantee.GONE, "callers that left", f"{late} requests were sent on later")
+        yield Violation(Guarantee.GONE, "callers that left", f"{late} requests were sent on later")
     if lasting >= _LASTING_LEAST and working > lasting * _WORKING_SHARE:
         detail = f"{working} of {lasting} requests were still worked on"
-        yield Finding(Guarantee.GONE, "callers that left", detail)
+        yield Violation(Guarantee.GONE, "callers that left", detail)
 
 
 def _rest(
     seen: Seen, target: Target, box: Address, arrivals: Sequence[Arrival]
-) -> Iterator[Finding]:
+) -> Iterator[Violation]:
     """Check that a box sends nothing to a target that asked it for rest."""
     for asked in arrivals:
         if not asked.rest:
@@ -161,12 +161,12 @@
         got = sum(since < arrival.at < over for arrival in arrivals)
         if got > _IN_REST_MOST and not seen.troubled(BOX_OR_LINK, asked.answered_at, over):
             detail = f"got {got} requests from {box} in {asked.rest:g} s of rest"
-            yield Finding(Guarantee.REST, target.worker.instance, detail)
+            yield Violation(Guarantee.REST, target.worker.instance, detail)
 
 
 def _drain_as_told(
     seen: Seen, target: Target, box: Address, arrivals: Sequence[Arrival]
-) -> Iterator[Finding]:
+) -> Iterator[Violation]:
     """Check that a box sends nothing to a target that told it in an answer that it leaves."""
     told: Seconds | None = min((a.answered_at for a in arrivals if a.said_leaving), default=None)
     if told is None:
@@ -176,4 +176,4 @@
         sent = seen.attempts[arrival.request_id].sent
         if sent > limit and not seen.troubled(BOX_OR_LINK, told, arrival.at):
             detail = f"{arrival.request_id} came from {box} {sent - told:.2f} s after its word"
-            yield Finding(Guarantee.DRAIN, target.worker.instance, detail)
+            yield Violation(Guarantee.DRAIN, target.worker.instance, detail)
--- a/dunlinnotch/lab/report.py
+++ b/dunlinnotch/lab/report.py
@@ -13,7 +13,7 @@
     from collections.abc import Sequence
     from pathlib import Path
 
-    from dunlinnotch.lab.referee import Evidence, Finding
+    from dunlinnotch.lab.referee import Evidence, Violation
     from dunlinnotch.standins.users.caller import AttemptRecord
 
 _SECOND_S = 1.0
@@ -91,7 +91,7 @@
 
 
 def summarise(
-    evidence: Evidence, findings: Sequence[Finding], *, store_calls: int, tool_late: float
+    evidence: Evidence, findings: Sequence[Violation], *, store_calls: int, tool_late: float
 ) -> ScenarioResult:
     """Return the result of a day."""
     requests: dict[int, list[AttemptRecord]] = {}
