--- a/dunlinnotch/lab/referee/__init__.py
+++ b/dunlinnotch/lab/referee/__init__.py
@@ -11,19 +11,19 @@
 from dunlinnotch.lab.referee.common import (
     TIMED,
     BoxStop,
-    Evidence,
     Guarantee,
+    Observations,
     Seen,
     Violation,
     Window,
 )
 
-__all__ = ["TIMED", "BoxStop", "Evidence", "Violation", "Guarantee", "Window", "judge"]
+__all__ = ["TIMED", "BoxStop", "Observations", "Violation", "Guarantee", "Window", "judge"]
 
 _CHECKS = (answers.check, work.check, settings.check, stops.check, budgets.check)
 
 
-def judge(evidence: Evidence) -> list[Violation]:
+def judge(evidence: Observations) -> list[Violation]:
     """Return all broken promises of one day."""
     seen = Seen(evidence)
     return [finding for check in _CHECKS for finding in check(seen)]
--- a/dunlinnotch/lab/referee/common.py
+++ b/dunlinnotch/lab/referee/common.py
@@ -131,7 +131,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Evidence:
+class Observations:
     """What was seen in a day.
 
     Parameters
@@ -174,7 +174,7 @@
         By id, where each was run.
     """
 
-    def __init__(self, evidence: Evidence) -> None:
+    def __init__(self, evidence: Observations) -> None:
         self.evidence = evidence
         self.day = evidence.day
         sent = (*evidence.attempts, *evidence.deadly, *evidence.left)
--- a/dunlinnotch/lab/report.py
+++ b/dunlinnotch/lab/report.py
@@ -13,7 +13,7 @@
     from collections.abc import Sequence
     from pathlib import Path
 
-    from dunlinnotch.lab.referee import Evidence, Violation
+    from dunlinnotch.lab.referee import Observations, Violation
     from dunlinnotch.standins.users.caller import AttemptRecord
 
 _SECOND_S = 1.0
@@ -91,7 +91,7 @@
 
 
 def summarise(
-    evidence: Evidence, findings: Sequence[Violation], *, store_calls: int, tool_late: float
+    evidence: Observations, findings: Sequence[Violation], *, store_calls: int, tool_late: float
 ) -> ScenarioResult:
     """Return the result of a day."""
     requests: dict[int, list[AttemptRecord]] = {}
@@ -147,7 +147,7 @@
 
 
 def _by_second(
-    result: ScenarioResult, evidence: Evidence, requests: list[list[AttemptRecord]]
+    result: ScenarioResult, evidence: Observations, requests: list[list[AttemptRecord]]
 ) -> None:
     seconds = int((evidence.ended - evidence.began) / _SECOND_S) + 1
     times: list[list[float]] = [[] for _ in range(seconds)]
--- a/dunlinnotch/lab/run.py
+++ b/dunlinnotch/lab/run.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from dunlinnotch.lab.fleet import HOST, Fleet, prefix_of
-from dunlinnotch.lab.referee import Evidence, judge
+from dunlinnotch.lab.referee import Observations, judge
 from dunlinnotch.lab.report import ScenarioResult, summarise
 from dunlinnotch.lab.troubles import FaultInjector
 from dunlinnotch.standins.users.caller import CallerRequestPlan, CallerStandin
@@ -139,7 +139,7 @@
             for task in (telling, *causing):
                 task.cancel()
             await asyncio.gather(telling, *causing, return_exceptions=True)
-        evidence = Evidence(
+        evidence = Observations(
             day=day,
             began=began,
             ended=ended,
--- a/tests/test_lab_referee.py
+++ b/tests/test_lab_referee.py
@@ -8,7 +8,7 @@
 
 from dunlinnotch.lab.day import Bounds, FaultKind, KindPlan, Scenario, ServicePlan
 from dunlinnotch.lab.fleet import Target
-from dunlinnotch.lab.referee import BoxStop, Evidence, Guarantee, Window
+from dunlinnotch.lab.referee import BoxStop, Guarantee, Observations, Window
 from dunlinnotch.lab.referee import judge as judge_day
 from dunlinnotch.standins.users.caller import AttemptOutcome, AttemptRecord
 from dunlinnotch.standins.users.worker import Arrival, Ran
@@ -59,7 +59,7 @@
 
 def judge(attempts, targets, *, windows=(), moves=None, ended=30.0, deadly=(), left=(), stops=()):
     moves = moves or {}
-    evidence = Evidence(DAY, 0.0, ended, attempts, targets, windows, moves, deadly, left, stops)
+    evidence = Observations(DAY, 0.0, ended, attempts, targets, windows, moves, deadly, left, stops)
     return [finding.promise for finding in judge_day(evidence)]
 
 
--- a/tests/test_lab_report.py
+++ b/tests/test_lab_report.py
@@ -2,14 +2,14 @@
 
 from __future__ import annotations
 
-from dunlinnotch.lab.referee import Evidence
+from dunlinnotch.lab.referee import Observations
 from dunlinnotch.lab.report import format_comparison, format_result, summarise
 from dunlinnotch.standins.users.caller import AttemptOutcome
 from tests.test_lab_referee import DAY, attempt
 
 
 def summed(*attempts):
-    evidence = Evidence(DAY, 0.0, 30.0, attempts, [], (), {})
+    evidence = Observations(DAY, 0.0, 30.0, attempts, [], (), {})
     result = summarise(evidence, [], store_calls=0, tool_late=0.0)
     return result, result.kinds[0]
 
