--- a/dunlinnotch/lab/referee/__init__.py
+++ b/dunlinnotch/lab/referee/__init__.py
@@ -11,14 +11,14 @@
 from dunlinnotch.lab.referee.common import (
     TIMED,
     BoxStop,
+    FaultWindow,
     Guarantee,
     Observations,
     Seen,
     Violation,
-    Window,
 )
 
-__all__ = ["TIMED", "BoxStop", "Observations", "Violation", "Guarantee", "Window", "judge"]
+__all__ = ["TIMED", "BoxStop", "Observations", "Violation", "Guarantee", "FaultWindow", "judge"]
 
 _CHECKS = (answers.check, work.check, settings.check, stops.check, budgets.check)
 
--- a/dunlinnotch/lab/referee/common.py
+++ b/dunlinnotch/lab/referee/common.py
@@ -101,7 +101,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Window:
+class FaultWindow:
     """A time in which something was wrong, in monotonic seconds."""
 
     kind: FaultKind
@@ -152,7 +152,7 @@
     ended: Seconds
     attempts: Sequence[AttemptRecord]
     targets: Sequence[Target]
-    windows: Sequence[Window]
+    windows: Sequence[FaultWindow]
     moves: dict[str, list[tuple[Seconds, str]]]
     deadly: Sequence[AttemptRecord] = ()
     left: Sequence[AttemptRecord] = ()
--- a/dunlinnotch/lab/troubles.py
+++ b/dunlinnotch/lab/troubles.py
@@ -11,7 +11,7 @@
 from dunlinnotch.lab.day import FaultKind
 from dunlinnotch.lab.fleet import DEADLY, HOST, LONG, prefix_of
 from dunlinnotch.lab.link import LinkState
-from dunlinnotch.lab.referee import BoxStop, Window
+from dunlinnotch.lab.referee import BoxStop, FaultWindow
 from dunlinnotch.standins.users.caller import CallerRequestPlan, CallerStandin
 from dunlinnotch.standins.users.store import StoreFault
 from dunlinnotch.standins.users.worker import WorkerFault
@@ -67,7 +67,7 @@
         self._fleet = fleet
         self._rng = random.Random(fleet.day.seed + 1)
         self._loop = asyncio.get_running_loop()
-        self.windows: list[Window] = []
+        self.windows: list[FaultWindow] = []
         self.load = 1.0
         self.deadly_attempts: list[AttemptRecord] = []
         self.left_attempts: list[AttemptRecord] = []
@@ -106,10 +106,10 @@
         await asyncio.sleep(plan.at)
         began = self._loop.time()
         # Open until it has ended, so that a day cut short excuses as much as it should.
-        self.windows.append(Window(plan.kind, began, math.inf))
+        self.windows.append(FaultWindow(plan.kind, began, math.inf))
         place = len(self.windows) - 1
         await self._how[plan.kind](plan)
-        self.windows[place] = Window(plan.kind, began, self._loop.time())
+        self.windows[place] = FaultWindow(plan.kind, began, self._loop.time())
 
     def _some_targets(self, plan: FaultPlan) -> list[Target]:
         ready = [t for t in self._fleet.targets if not t.ending]
--- a/tests/test_lab_referee.py
+++ b/tests/test_lab_referee.py
@@ -8,7 +8,7 @@
 
 from dunlinnotch.lab.day import Bounds, FaultKind, KindPlan, Scenario, ServicePlan
 from dunlinnotch.lab.fleet import Target
-from dunlinnotch.lab.referee import BoxStop, Guarantee, Observations, Window
+from dunlinnotch.lab.referee import BoxStop, FaultWindow, Guarantee, Observations
 from dunlinnotch.lab.referee import judge as judge_day
 from dunlinnotch.standins.users.caller import AttemptOutcome, AttemptRecord
 from dunlinnotch.standins.users.worker import Arrival, Ran
@@ -132,9 +132,9 @@
     [
         (12.0, [], []),
         (12.5, [], [Guarantee.DRAIN]),
-        (12.5, [Window(FaultKind.RELEASE, 0.0, 30.0)], [Guarantee.DRAIN]),
-        (12.5, [Window(FaultKind.BOX_KILL, 9.0, 9.5)], []),
-        (12.5, [Window(FaultKind.BOX_KILL, 2.0, 6.5)], [Guarantee.DRAIN]),
+        (12.5, [FaultWindow(FaultKind.RELEASE, 0.0, 30.0)], [Guarantee.DRAIN]),
+        (12.5, [FaultWindow(FaultKind.BOX_KILL, 9.0, 9.5)], []),
+        (12.5, [FaultWindow(FaultKind.BOX_KILL, 2.0, 6.5)], [Guarantee.DRAIN]),
     ],
 )
 def test_a_leaving_target_got_a_request(arrived, windows, found):
@@ -148,7 +148,7 @@
     [
         (11.0, "records", [], []),
         (13.0, "records", [], [Guarantee.SETTINGS]),
-        (13.0, "records", [Window(FaultKind.STORE_DOWN, 9.0, 11.0)], []),
+        (13.0, "records", [FaultWindow(FaultKind.STORE_DOWN, 9.0, 11.0)], []),
         (13.0, "uploads", [], []),
         (9.0, "uploads", [], [Guarantee.SETTINGS]),
     ],
@@ -164,8 +164,8 @@
 @pytest.mark.parametrize(
     ("windows", "found"),
     [
-        ([Window(FaultKind.BOX_STOP, 8.0, 12.0)], [Guarantee.STOP]),
-        ([Window(FaultKind.BOX_KILL, 8.0, 9.0)], []),
+        ([FaultWindow(FaultKind.BOX_STOP, 8.0, 12.0)], [Guarantee.STOP]),
+        ([FaultWindow(FaultKind.BOX_KILL, 8.0, 9.0)], []),
     ],
 )
 def test_a_request_cut_off_by_a_planned_stop(windows, found):
@@ -200,9 +200,9 @@
         status = 200 if number < served else 500
         attempts.append(attempt(request_id, request=number, sent=20.0, status=status))
         run_at(one, request_id, arrived=20.0)
-    windows = [Window(FaultKind.BOX_KILL, 8.0, 14.0)]
+    windows = [FaultWindow(FaultKind.BOX_KILL, 8.0, 14.0)]
     assert judge(attempts, [one], windows=windows) == found
-    later = [Window(FaultKind.BOX_KILL, 8.0, 16.0)]
+    later = [FaultWindow(FaultKind.BOX_KILL, 8.0, 16.0)]
     assert judge(attempts, [one], windows=later) == []
 
 
@@ -211,8 +211,8 @@
     [
         (3, (), []),
         (4, (), [Guarantee.BARRED]),
-        (4, [Window(FaultKind.DEADLY_REQUEST, 0.0, 30.0)], [Guarantee.BARRED]),
-        (4, [Window(FaultKind.STORE_DOWN, 0.0, 30.0)], []),
+        (4, [FaultWindow(FaultKind.DEADLY_REQUEST, 0.0, 30.0)], [Guarantee.BARRED]),
+        (4, [FaultWindow(FaultKind.STORE_DOWN, 0.0, 30.0)], []),
     ],
 )
 def test_a_request_that_ends_targets_may_end_three_more_once_all_boxes_know(late, windows, broken):
@@ -242,9 +242,9 @@
         ([10.1, 10.2, 10.3, 12.0, 12.5], BOX, [], []),
         ([13.1, 13.2, 13.3], BOX, [], []),
         ([11.0, 11.5, 12.0], "127.0.0.1:2", [], []),
-        ([11.0, 11.5, 12.0], BOX, [Window(FaultKind.BOX_STOP, 10.5, 11.0)], []),
-        ([11.0, 11.5, 12.0], BOX, [Window(FaultKind.BOX_FREEZE, 2.0, 5.0)], [Guarantee.REST]),
-        ([11.0, 11.5, 12.0], BOX, [Window(FaultKind.STORE_DOWN, 9.0, 15.0)], [Guarantee.REST]),
+        ([11.0, 11.5, 12.0], BOX, [FaultWindow(FaultKind.BOX_STOP, 10.5, 11.0)], []),
+        ([11.0, 11.5, 12.0], BOX, [FaultWindow(FaultKind.BOX_FREEZE, 2.0, 5.0)], [Guarantee.REST]),
+        ([11.0, 11.5, 12.0], BOX, [FaultWindow(FaultKind.STORE_DOWN, 9.0, 15.0)], [Guarantee.REST]),
     ],
 )
 def test_a_target_that_asked_for_rest_got_requests(times, box, windows, found):
@@ -259,8 +259,8 @@
         (12.2, BOX, [], []),
         (12.5, BOX, [], [Guarantee.DRAIN]),
         (12.5, "127.0.0.1:2", [], []),
-        (12.5, BOX, [Window(FaultKind.STORE_DOWN, 9.0, 15.0)], [Guarantee.DRAIN]),
-        (12.5, BOX, [Window(FaultKind.BOX_KILL, 11.0, 12.0)], []),
+        (12.5, BOX, [FaultWindow(FaultKind.STORE_DOWN, 9.0, 15.0)], [Guarantee.DRAIN]),
+        (12.5, BOX, [FaultWindow(FaultKind.BOX_KILL, 11.0, 12.0)], []),
     ],
 )
 def test_a_target_that_said_that_it_leaves_got_a_request(at, box, windows, found):
@@ -299,8 +299,8 @@
         (2.0, None, [], []),
         (2.4, None, [], []),
         (2.6, None, [], [Guarantee.TIME_GIVEN]),
-        (2.6, None, [Window(FaultKind.BOX_FREEZE, 8.0, 9.0)], []),
-        (2.6, None, [Window(FaultKind.BURST, 8.0, 20.0)], [Guarantee.TIME_GIVEN]),
+        (2.6, None, [FaultWindow(FaultKind.BOX_FREEZE, 8.0, 9.0)], []),
+        (2.6, None, [FaultWindow(FaultKind.BURST, 8.0, 20.0)], [Guarantee.TIME_GIVEN]),
         (2.0, (10.4, 2.0), [], []),
         (2.0, (11.0, 1.4), [], []),
         (2.0, (11.0, 1.6), [], [Guarantee.TIME_GIVEN]),
@@ -324,8 +324,8 @@
         ([12.0, 12.0, 10.7, 10.7], [], [Guarantee.GONE]),
         ([0.0, 0.0, 10.7, 10.7], [], [Guarantee.GONE]),
         ([12.0, 12.0, 12.0], [], []),
-        ([12.0] * 4, [Window(FaultKind.TARGET_SILENT, 8.0, 11.0)], []),
-        ([12.0] * 4, [Window(FaultKind.CALLER_LEAVES, 8.0, 11.0)], [Guarantee.GONE]),
+        ([12.0] * 4, [FaultWindow(FaultKind.TARGET_SILENT, 8.0, 11.0)], []),
+        ([12.0] * 4, [FaultWindow(FaultKind.CALLER_LEAVES, 8.0, 11.0)], [Guarantee.GONE]),
     ],
 )
 def test_work_that_goes_on_after_its_caller_has_left(ends, windows, found):
@@ -361,8 +361,8 @@
         (13.9, (), []),
         (14.5, (), [Guarantee.NOT_READY]),
         (float("inf"), (), [Guarantee.NOT_READY]),
-        (14.5, (Window(FaultKind.BOX_FREEZE, 12.0, 13.0),), []),
-        (14.5, (Window(FaultKind.STORE_DOWN, 12.0, 13.0),), [Guarantee.NOT_READY]),
+        (14.5, (FaultWindow(FaultKind.BOX_FREEZE, 12.0, 13.0),), []),
+        (14.5, (FaultWindow(FaultKind.STORE_DOWN, 12.0, 13.0),), [Guarantee.NOT_READY]),
     ],
 )
 def test_a_box_that_is_asked_to_stop_is_not_ready_in_time(not_ready, windows, found):
