--- a/dunlinnotch/lab/referee/__init__.py
+++ b/dunlinnotch/lab/referee/__init__.py
@@ -18,12 +18,20 @@
     Violation,
 )
 
-__all__ = ["TIMED", "BoxStop", "Observations", "Violation", "Guarantee", "FaultWindow", "judge"]
+__all__ = [
+    "TIMED",
+    "BoxStop",
+    "Observations",
+    "Violation",
+    "Guarantee",
+    "FaultWindow",
+    "find_violations",
+]
 
 _CHECKS = (answers.check, work.check, settings.check, stops.check, budgets.check)
 
 
-def judge(evidence: Observations) -> list[Violation]:
+def find_violations(evidence: Observations) -> list[Violation]:
     """Return all broken promises of one day."""
     seen = Seen(evidence)
     return [finding for check in _CHECKS for finding in check(seen)]
--- a/dunlinnotch/lab/run.py
+++ b/dunlinnotch/lab/run.py
@@ -8,7 +8,7 @@
 from typing import TYPE_CHECKING
 
 from dunlinnotch.lab.fleet import HOST, Fleet, prefix_of
-from dunlinnotch.lab.referee import Observations, judge
+from dunlinnotch.lab.referee import Observations, find_violations
 from dunlinnotch.lab.report import ScenarioResult, summarise
 from dunlinnotch.lab.troubles import FaultInjector
 from dunlinnotch.standins.users.caller import CallerRequestPlan, CallerStandin
@@ -153,7 +153,7 @@
         )
         return summarise(
             evidence,
-            judge(evidence),
+            find_violations(evidence),
             store_calls=fleet.store.calls,
             tool_late=callers.late,
         )
--- a/tests/test_lab_referee.py
+++ b/tests/test_lab_referee.py
@@ -9,7 +9,7 @@
 from dunlinnotch.lab.day import Bounds, FaultKind, KindPlan, Scenario, ServicePlan
 from dunlinnotch.lab.fleet import Target
 from dunlinnotch.lab.referee import BoxStop, FaultWindow, Guarantee, Observations
-from dunlinnotch.lab.referee import judge as judge_day
+from dunlinnotch.lab.referee import find_violations as judge_day
 from dunlinnotch.standins.users.caller import AttemptOutcome, AttemptRecord
 from dunlinnotch.standins.users.worker import Arrival, Ran
 
