--- a/dunlinnotch/cli/lab.py
+++ b/dunlinnotch/cli/lab.py
@@ -13,7 +13,6 @@
 
 from dunlinnotch.cli.common import Exit, FileCommand
 from dunlinnotch.errors import ConfigError
-from dunlinnotch.lab.day import Scenario, read_scenario
 from dunlinnotch.lab.draw import generate_scenario
 from dunlinnotch.lab.plot import plot
 from dunlinnotch.lab.report import (
@@ -24,6 +23,7 @@
     load_result,
 )
 from dunlinnotch.lab.run import run_scenario
+from dunlinnotch.lab.scenario import Scenario, read_scenario
 
 if TYPE_CHECKING:
     from collections.abc import Coroutine
--- a/dunlinnotch/lab/draw.py
+++ b/dunlinnotch/lab/draw.py
@@ -4,7 +4,7 @@
 
 import random
 
-from dunlinnotch.lab.day import FaultKind, FaultPlan, KindPlan, Scenario, ServicePlan
+from dunlinnotch.lab.scenario import FaultKind, FaultPlan, KindPlan, Scenario, ServicePlan
 
 _LENGTH_S = 16.0
 #: Troubles begin between these moments of the day, in seconds.
--- a/dunlinnotch/lab/fleet.py
+++ b/dunlinnotch/lab/fleet.py
@@ -18,7 +18,7 @@
     from collections.abc import Callable
     from pathlib import Path
 
-    from dunlinnotch.lab.day import KindPlan, Scenario, ServicePlan
+    from dunlinnotch.lab.scenario import KindPlan, Scenario, ServicePlan
     from dunlinnotch.types import Address, Seconds
 
 HOST = "lab.example"
--- a/dunlinnotch/lab/referee/common.py
+++ b/dunlinnotch/lab/referee/common.py
@@ -8,13 +8,13 @@
 from enum import StrEnum
 from typing import TYPE_CHECKING
 
-from dunlinnotch.lab.day import PLANNED, FaultKind
+from dunlinnotch.lab.scenario import PLANNED, FaultKind
 
 if TYPE_CHECKING:
     from collections.abc import Collection, Iterator, Sequence
 
-    from dunlinnotch.lab.day import KindPlan, Scenario
     from dunlinnotch.lab.fleet import Target
+    from dunlinnotch.lab.scenario import KindPlan, Scenario
     from dunlinnotch.standins.users.caller import AttemptRecord
     from dunlinnotch.standins.users.worker import Arrival, Ran
     from dunlinnotch.types import Address, Seconds
--- a/dunlinnotch/lab/referee/stops.py
+++ b/dunlinnotch/lab/referee/stops.py
@@ -5,8 +5,8 @@
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from dunlinnotch.lab.day import FaultKind
 from dunlinnotch.lab.referee.common import SLACK_S, Guarantee, Violation
+from dunlinnotch.lab.scenario import FaultKind
 from dunlinnotch.standins.users.caller import AttemptOutcome
 
 if TYPE_CHECKING:
--- a/dunlinnotch/lab/run.py
+++ b/dunlinnotch/lab/run.py
@@ -17,7 +17,7 @@
     from collections.abc import Callable
     from pathlib import Path
 
-    from dunlinnotch.lab.day import KindPlan, Scenario
+    from dunlinnotch.lab.scenario import KindPlan, Scenario
     from dunlinnotch.standins.users.caller import AttemptRecord
     from dunlinnotch.types import Seconds
 
--- a/dunlinnotch/lab/troubles.py
+++ b/dunlinnotch/lab/troubles.py
@@ -8,10 +8,10 @@
 import signal
 from typing import TYPE_CHECKING, TypeVar
 
-from dunlinnotch.lab.day import FaultKind
 from dunlinnotch.lab.fleet import DEADLY, HOST, LONG, prefix_of
 from dunlinnotch.lab.link import LinkState
 from dunlinnotch.lab.referee import BoxStop, FaultWindow
+from dunlinnotch.lab.scenario import FaultKind
 from dunlinnotch.standins.users.caller import CallerRequestPlan, CallerStandin
 from dunlinnotch.standins.users.store import StoreFault
 from dunlinnotch.standins.users.worker import WorkerFault
@@ -19,8 +19,8 @@
 if TYPE_CHECKING:
     from collections.abc import Callable, Coroutine, Sequence
 
-    from dunlinnotch.lab.day import FaultPlan
     from dunlinnotch.lab.fleet import Fleet, Target
+    from dunlinnotch.lab.scenario import FaultPlan
     from dunlinnotch.standins.users.box import BoxProcess
     from dunlinnotch.standins.users.caller import AttemptRecord
     from dunlinnotch.types import Seconds
--- a/tests/test_coverage.py
+++ b/tests/test_coverage.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from dunlinnotch.lab.day import FaultKind
 from dunlinnotch.lab.draw import generate_scenario
 from dunlinnotch.lab.referee import Guarantee
+from dunlinnotch.lab.scenario import FaultKind
 from tests.mutants import MUTANTS
 from tools.pages import DOCS
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -16,15 +16,6 @@
 from dunlinnotch.cli.__main__ import application
 from dunlinnotch.cli.common import Exit
 from dunlinnotch.errors import ConfigError
-from dunlinnotch.lab.day import (
-    Bounds,
-    FaultKind,
-    FaultPlan,
-    KindPlan,
-    Scenario,
-    ServicePlan,
-    read_scenario,
-)
 from dunlinnotch.lab.draw import generate_scenario
 from dunlinnotch.lab.link import FaultyLink, LinkState
 from dunlinnotch.lab.plot import plot
@@ -37,6 +28,15 @@
     load_result,
 )
 from dunlinnotch.lab.run import run_scenario
+from dunlinnotch.lab.scenario import (
+    Bounds,
+    FaultKind,
+    FaultPlan,
+    KindPlan,
+    Scenario,
+    ServicePlan,
+    read_scenario,
+)
 
 DAYS = Path(__file__).parent / "days"
 
--- a/tests/test_lab_referee.py
+++ b/tests/test_lab_referee.py
@@ -6,10 +6,10 @@
 
 import pytest
 
-from dunlinnotch.lab.day import Bounds, FaultKind, KindPlan, Scenario, ServicePlan
 from dunlinnotch.lab.fleet import Target
 from dunlinnotch.lab.referee import BoxStop, FaultWindow, Guarantee, Observations
 from dunlinnotch.lab.referee import find_violations as judge_day
+from dunlinnotch.lab.scenario import Bounds, FaultKind, KindPlan, Scenario, ServicePlan
 from dunlinnotch.standins.users.caller import AttemptOutcome, AttemptRecord
 from dunlinnotch.standins.users.worker import Arrival, Ran
 
--- a/tests/test_troubles.py
+++ b/tests/test_troubles.py
@@ -5,7 +5,7 @@
 import asyncio
 from types import SimpleNamespace
 
-from dunlinnotch.lab.day import FaultKind, FaultPlan
+from dunlinnotch.lab.scenario import FaultKind, FaultPlan
 from dunlinnotch.lab.troubles import FaultInjector
 
 
