--- a/dunlinnotch/cli/lab.py
+++ b/dunlinnotch/cli/lab.py
@@ -13,7 +13,7 @@
 
 from dunlinnotch.cli.common import Exit, FileCommand
 from dunlinnotch.errors import ConfigError
-from dunlinnotch.lab.draw import generate_scenario
+from dunlinnotch.lab.generate import generate_scenario
 from dunlinnotch.lab.plot import plot
 from dunlinnotch.lab.report import (
     MAX_SEND_DELAY_S,
--- a/tests/test_coverage.py
+++ b/tests/test_coverage.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from dunlinnotch.lab.draw import generate_scenario
+from dunlinnotch.lab.generate import generate_scenario
 from dunlinnotch.lab.referee import Guarantee
 from dunlinnotch.lab.scenario import FaultKind
 from tests.mutants import MUTANTS
