--- a/tests/test_troubles.py
+++ b/tests/test_faults.py
@@ -5,8 +5,8 @@
 import asyncio
 from types import SimpleNamespace
 
+from dunlinnotch.lab.faults import FaultInjector
 from dunlinnotch.lab.scenario import FaultKind, FaultPlan
-from dunlinnotch.lab.troubles import FaultInjector
 
 
 class Box:
