--- a/dunlinnotch/lab/referee/__init__.py
+++ b/dunlinnotch/lab/checker/__init__.py
@@ -7,8 +7,8 @@
 
 from __future__ import annotations
 
-from dunlinnotch.lab.referee import answers, budgets, settings, stops, work
-from dunlinnotch.lab.referee.common import (
+from dunlinnotch.lab.checker import answers, budgets, settings, stops, work
+from dunlinnotch.lab.checker.common import (
     TIMED,
     BoxStop,
     FaultWindow,
--- a/dunlinnotch/lab/referee/answers.py
+++ b/dunlinnotch/lab/checker/answers.py
@@ -4,13 +4,13 @@
 
 from typing import TYPE_CHECKING
 
-from dunlinnotch.lab.referee.common import Guarantee, Violation
+from dunlinnotch.lab.checker.common import Guarantee, Violation
 from dunlinnotch.standins.users.caller import PROMISES, AttemptOutcome
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from dunlinnotch.lab.referee.common import Seen
+    from dunlinnotch.lab.checker.common import Seen
     from dunlinnotch.standins.users.caller import AttemptRecord
 
 #: Time by which an attempt may be held beyond what its caller gave it, in seconds.
--- a/dunlinnotch/lab/referee/budgets.py
+++ b/dunlinnotch/lab/checker/budgets.py
@@ -5,12 +5,12 @@
 from collections import Counter, defaultdict
 from typing import TYPE_CHECKING
 
-from dunlinnotch.lab.referee.common import Guarantee, Violation
+from dunlinnotch.lab.checker.common import Guarantee, Violation
 
 if TYPE_CHECKING:
     from collections.abc import Iterator, Sequence
 
-    from dunlinnotch.lab.referee.common import Seen
+    from dunlinnotch.lab.checker.common import Seen
     from dunlinnotch.types import Seconds
 
 
--- a/dunlinnotch/lab/referee/settings.py
+++ b/dunlinnotch/lab/checker/settings.py
@@ -4,14 +4,14 @@
 
 from typing import TYPE_CHECKING
 
+from dunlinnotch.lab.checker.common import SLACK_S, Guarantee, Violation
 from dunlinnotch.lab.fleet import prefix_of
-from dunlinnotch.lab.referee.common import SLACK_S, Guarantee, Violation
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
+    from dunlinnotch.lab.checker.common import Seen
     from dunlinnotch.lab.fleet import Target
-    from dunlinnotch.lab.referee.common import Seen
     from dunlinnotch.standins.users.worker import Ran
     from dunlinnotch.types import Seconds
 
--- a/dunlinnotch/lab/referee/stops.py
+++ b/dunlinnotch/lab/checker/stops.py
@@ -5,14 +5,14 @@
 from collections import Counter
 from typing import TYPE_CHECKING
 
-from dunlinnotch.lab.referee.common import SLACK_S, Guarantee, Violation
+from dunlinnotch.lab.checker.common import SLACK_S, Guarantee, Violation
 from dunlinnotch.lab.scenario import FaultKind
 from dunlinnotch.standins.users.caller import AttemptOutcome
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from dunlinnotch.lab.referee.common import Seen
+    from dunlinnotch.lab.checker.common import Seen
     from dunlinnotch.standins.users.caller import AttemptRecord
 
 #: A request that was cut later than so many seconds after it was sent had been read.
--- a/dunlinnotch/lab/referee/work.py
+++ b/dunlinnotch/lab/checker/work.py
@@ -5,15 +5,15 @@
 from collections import defaultdict
 from typing import TYPE_CHECKING
 
+from dunlinnotch.lab.checker.common import BOX_OR_LINK, SLACK_S, Guarantee, Violation
 from dunlinnotch.lab.fleet import LONG_S
-from dunlinnotch.lab.referee.common import BOX_OR_LINK, SLACK_S, Guarantee, Violation
 from dunlinnotch.standins.users.caller import AttemptOutcome
 
 if TYPE_CHECKING:
     from collections.abc import Iterator, Sequence
 
+    from dunlinnotch.lab.checker.common import Seen
     from dunlinnotch.lab.fleet import Target
-    from dunlinnotch.lab.referee.common import Seen
     from dunlinnotch.standins.users.worker import Arrival
     from dunlinnotch.types import Address, Seconds
 
--- a/dunlinnotch/lab/faults.py
+++ b/dunlinnotch/lab/faults.py
@@ -8,9 +8,9 @@
 import signal
 from typing import TYPE_CHECKING, TypeVar
 
+from dunlinnotch.lab.checker import BoxStop, FaultWindow
 from dunlinnotch.lab.fleet import DEADLY, HOST, LONG, prefix_of
 from dunlinnotch.lab.link import LinkState
-from dunlinnotch.lab.referee import BoxStop, FaultWindow
 from dunlinnotch.lab.scenario import FaultKind
 from dunlinnotch.standins.users.caller import CallerRequestPlan, CallerStandin
 from dunlinnotch.standins.users.store import StoreFault
--- a/dunlinnotch/lab/report.py
+++ b/dunlinnotch/lab/report.py
@@ -13,7 +13,7 @@
     from collections.abc import Sequence
     from pathlib import Path
 
-    from dunlinnotch.lab.referee import Observations, Violation
+    from dunlinnotch.lab.checker import Observations, Violation
     from dunlinnotch.standins.users.caller import AttemptRecord
 
 _SECOND_S = 1.0
--- a/dunlinnotch/lab/run.py
+++ b/dunlinnotch/lab/run.py
@@ -7,9 +7,9 @@
 import random
 from typing import TYPE_CHECKING
 
+from dunlinnotch.lab.checker import Observations, find_violations
 from dunlinnotch.lab.faults import FaultInjector
 from dunlinnotch.lab.fleet import HOST, Fleet, prefix_of
-from dunlinnotch.lab.referee import Observations, find_violations
 from dunlinnotch.lab.report import ScenarioResult, summarise
 from dunlinnotch.standins.users.caller import CallerRequestPlan, CallerStandin
 
--- a/tests/test_coverage.py
+++ b/tests/test_coverage.py
@@ -6,8 +6,8 @@
 
 import pytest
 
+from dunlinnotch.lab.checker import Guarantee
 from dunlinnotch.lab.generate import generate_scenario
-from dunlinnotch.lab.referee import Guarantee
 from dunlinnotch.lab.scenario import FaultKind
 from tests.mutants import MUTANTS
 from tools.pages import DOCS
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -16,10 +16,10 @@
 from dunlinnotch.cli.__main__ import application
 from dunlinnotch.cli.common import Exit
 from dunlinnotch.errors import ConfigError
+from dunlinnotch.lab.checker import TIMED
 from dunlinnotch.lab.generate import generate_scenario
 from dunlinnotch.lab.link import FaultyLink, LinkState
 from dunlinnotch.lab.plot import plot
-from dunlinnotch.lab.referee import TIMED
 from dunlinnotch.lab.report import (
     KindResult,
     ScenarioResult,
--- a/tests/test_lab_referee.py
+++ b/tests/test_lab_checker.py
@@ -6,9 +6,9 @@
 
 import pytest
 
+from dunlinnotch.lab.checker import BoxStop, FaultWindow, Guarantee, Observations
+from dunlinnotch.lab.checker import find_violations as judge_day
 from dunlinnotch.lab.fleet import Target
-from dunlinnotch.lab.referee import BoxStop, FaultWindow, Guarantee, Observations
-from dunlinnotch.lab.referee import find_violations as judge_day
 from dunlinnotch.lab.scenario import Bounds, FaultKind, KindPlan, Scenario, ServicePlan
 from dunlinnotch.standins.users.caller import AttemptOutcome, AttemptRecord
 from dunlinnotch.standins.users.worker import Arrival, Ran
--- a/tests/test_lab_report.py
+++ b/tests/test_lab_report.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from dunlinnotch.lab.referee import Observations
+from dunlinnotch.lab.checker import Observations
 from dunlinnotch.lab.report import format_comparison, format_result, summarise
 from dunlinnotch.standins.users.caller import AttemptOutcome
-from tests.test_lab_referee import DAY, attempt
+from tests.test_lab_checker import DAY, attempt
 
 
 def summed(*attempts):
