--- a/dunlinnotch/lab/generate.py
+++ b/dunlinnotch/lab/generate.py
@@ -1,4 +1,4 @@
-"""Draw days by a seed: another mix of troubles each time, the same for the same seed."""
+"""Generate reproducible scenarios with a random mix of faults from a seed."""
 
 from __future__ import annotations
 
@@ -6,13 +6,14 @@
 
 from dunlinnotch.lab.scenario import FaultKind, FaultPlan, KindPlan, Scenario, ServicePlan
 
-_LENGTH_S = 16.0
-#: Troubles begin between these moments of the day, in seconds.
-_FIRST_S, _LAST_S = 1.0, 9.0
-_TROUBLES = (2, 5)
-#: Share of the services whose targets never answer what they can't queue.
-_HANGS = 0.3
-_STRENGTH = {
+_SCENARIO_LENGTH_S = 16.0
+#: Faults start early enough for the scenario to end with traffic after them.
+_MIN_START_S, _MAX_START_S = 1.0, 9.0
+_FAULT_COUNT_RANGE = (2, 5)
+#: Probability that the targets of a service never answer requests beyond their queue.
+_HANG_PROBABILITY = 0.3
+#: Range of ``FaultPlan.x`` for each kind.
+_STRENGTH_RANGES = {
     FaultKind.BURST: (1.3, 2.0),
     FaultKind.TARGET_SLOW: (3.0, 12.0),
     FaultKind.ANSWER_LOST: (0.02, 0.3),
@@ -28,23 +29,27 @@
 
 
 def generate_scenario(seed: int) -> Scenario:
-    """Return the day of a seed.
+    """Generate the scenario of a seed; the same seed always gives the same scenario.
 
     Parameters
     ----------
     seed : int
+
+    Returns
+    -------
+    Scenario
     """
     rng = random.Random(seed)
-    count = rng.randint(*_TROUBLES)
-    kinds = rng.sample(list(FaultKind), count)
+    fault_count = rng.randint(*_FAULT_COUNT_RANGE)
+    fault_kinds = rng.sample(list(FaultKind), fault_count)
     return Scenario(
         name=f"drawn-{seed}",
         seed=seed,
-        length_s=_LENGTH_S,
+        length_s=_SCENARIO_LENGTH_S,
         boxes=rng.randint(4, 8),
         services=(
-            _draw_service("records", (6, 10), rng),
-            _draw_service("uploads", (2, 4), rng),
+            _generate_service("records", (6, 10), rng),
+            _generate_service("uploads", (2, 4), rng),
         ),
         kinds=(
             KindPlan(name="lookup", service="records", repeatable=True, per_s=60, rank=2),
@@ -60,25 +65,25 @@
                 target_latency_ms=100,
             ),
         ),
-        troubles=tuple(_draw_trouble(kind, rng) for kind in kinds),
+        troubles=tuple(_generate_fault(kind, rng) for kind in fault_kinds),
     )
 
 
-def _draw_service(name: str, targets: tuple[int, int], rng: random.Random) -> ServicePlan:
+def _generate_service(name: str, targets: tuple[int, int], rng: random.Random) -> ServicePlan:
     return ServicePlan(
         name=name,
         targets=rng.randint(*targets),
         slots=rng.choice((3, 6)),
         queue=rng.choice((0, 6)),
-        hangs=rng.random() < _HANGS,
+        hangs=rng.random() < _HANG_PROBABILITY,
     )
 
 
-def _draw_trouble(kind: FaultKind, rng: random.Random) -> FaultPlan:
+def _generate_fault(kind: FaultKind, rng: random.Random) -> FaultPlan:
     return FaultPlan(
         kind=kind,
-        at=round(rng.uniform(_FIRST_S, _LAST_S), 2),
+        at=round(rng.uniform(_MIN_START_S, _MAX_START_S), 2),
         for_s=round(rng.uniform(0.5, 5.0), 2),
         share=round(rng.uniform(0.1, 0.6), 2),
-        x=round(rng.uniform(*_STRENGTH.get(kind, (1.0, 2.0))), 2),
+        x=round(rng.uniform(*_STRENGTH_RANGES.get(kind, (1.0, 2.0))), 2),
     )
