--- a/dunlinnotch/lab/checker/common.py
+++ b/dunlinnotch/lab/checker/common.py
@@ -8,7 +8,7 @@
 from enum import StrEnum
 from typing import TYPE_CHECKING
 
-from dunlinnotch.lab.scenario import PLANNED, FaultKind
+from dunlinnotch.lab.scenario import PLANNED_FAULTS, FaultKind
 
 if TYPE_CHECKING:
     from collections.abc import Collection, Iterator, Sequence
@@ -196,7 +196,9 @@
 
     def unplanned(self, start: Seconds, end: Seconds) -> bool:
         """Return whether anything but planned work went on in a span of time."""
-        return any(w.kind not in PLANNED and w.touches(start, end) for w in self.evidence.windows)
+        return any(
+            w.kind not in PLANNED_FAULTS and w.touches(start, end) for w in self.evidence.windows
+        )
 
     def troubled(self, kinds: Collection[FaultKind], start: Seconds, end: Seconds) -> bool:
         """Return whether a trouble of some kinds went on in a span of time."""
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -68,14 +68,17 @@
     ("change", "said"),
     [
         (("boxes = 2", "boxes = 31"), "boxes = 31: Input should be less than or equal to 30"),
-        (('service = "records"', 'service = "record"'), "service 'record' is none of records"),
+        (
+            ('service = "records"', 'service = "record"'),
+            "unknown service 'record'; defined are records",
+        ),
         (("per_s = 20", "per_s = 0"), "kinds.0.per_s = 0"),
         (("per_s = 20", "per_second = 20"), "kinds.0.per_s: missing"),
         (("length_s = 2", "length = 2"), "length = 2"),
         (("boxes = 2", "boxes = "), "Invalid value"),
         (
             ("length_s = 2", 'length_s = 2\ntroubles = [{ kind = "burst", at = 3 }]'),
-            "after the end of the day (2 s): burst",
+            "must start before length_s = 2; starting later: burst",
         ),
         (
             ("length_s = 2", 'troubles = [{ kind = "flood", at = 1 }]'),
