--- a/dunlinnotch/lab/checker/__init__.py
+++ b/dunlinnotch/lab/checker/__init__.py
@@ -1,37 +1,46 @@
-"""Check the promises from what callers and targets saw.
+"""Check the guarantees from what callers and targets observed.
 
-A finding names the promise, the attempt or target, and what was seen.  What a
-box did while it was killed, frozen, stopped or cut off from the store, and for
-``contact`` seconds after, is excused where a promise holds in time only.
+A violation names the guarantee, the attempt or target, and what was observed.
+Guarantees that hold only within a time limit are not checked while an unplanned
+fault lasts, nor for ``contact`` seconds after it.
 """
 
 from __future__ import annotations
 
 from dunlinnotch.lab.checker import answers, budgets, settings, stops, work
 from dunlinnotch.lab.checker.common import (
-    TIMED,
+    TIMED_GUARANTEES,
     BoxStop,
     FaultWindow,
     Guarantee,
+    ObservationIndex,
     Observations,
-    Seen,
     Violation,
 )
 
 __all__ = [
-    "TIMED",
+    "TIMED_GUARANTEES",
     "BoxStop",
+    "FaultWindow",
+    "Guarantee",
     "Observations",
     "Violation",
-    "Guarantee",
-    "FaultWindow",
     "find_violations",
 ]
 
 _CHECKS = (answers.check, work.check, settings.check, stops.check, budgets.check)
 
 
-def find_violations(evidence: Observations) -> list[Violation]:
-    """Return all broken promises of one day."""
-    seen = Seen(evidence)
-    return [finding for check in _CHECKS for finding in check(seen)]
+def find_violations(observations: Observations) -> list[Violation]:
+    """Return all violations of the guarantees in one scenario.
+
+    Parameters
+    ----------
+    observations : Observations
+
+    Returns
+    -------
+    list of Violation
+    """
+    index = ObservationIndex(observations)
+    return [violation for check in _CHECKS for violation in check(index)]
--- a/dunlinnotch/lab/checker/answers.py
+++ b/dunlinnotch/lab/checker/answers.py
@@ -1,4 +1,4 @@
-"""Checks of what callers got: whole answers, true refusals, in their time."""
+"""Checks of the answers that callers received: complete, truthful and within the deadline."""
 
 from __future__ import annotations
 
@@ -10,52 +10,65 @@
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from dunlinnotch.lab.checker.common import Seen
+    from dunlinnotch.lab.checker.common import ObservationIndex
     from dunlinnotch.standins.users.caller import AttemptRecord
 
-#: Time by which an attempt may be held beyond what its caller gave it, in seconds.
-_HELD_S = 0.5
+#: Allows for timers and scheduling after the deadline of an attempt.
+_HOLD_TOLERANCE_S = 0.5
 
 
-def check(seen: Seen) -> Iterator[Violation]:
-    """Yield what is wrong with the answers that callers got."""
-    for attempt in seen.evidence.attempts:
-        yield from _whole(seen, attempt)
-        yield from _not_run(seen, attempt)
-        yield from _denied(attempt)
-        yield from _in_time(seen, attempt)
+def check(index: ObservationIndex) -> Iterator[Violation]:
+    """Yield violations in the answers that callers received."""
+    for attempt in index.observations.attempts:
+        yield from _check_complete(index, attempt)
+        yield from _check_not_run(index, attempt)
+        yield from _check_not_rejected(attempt)
+        yield from _check_in_time(index, attempt)
 
 
-def _whole(seen: Seen, attempt: AttemptRecord) -> Iterator[Violation]:
+def _check_complete(index: ObservationIndex, attempt: AttemptRecord) -> Iterator[Violation]:
+    """Check that a successful answer is complete and belongs to its request."""
     if attempt.outcome is not AttemptOutcome.ANSWERED:
         return
     if attempt.named and attempt.named != attempt.id:
-        yield Violation(Guarantee.WHOLE, attempt.id, f"got the answer to {attempt.named}")
+        yield Violation(Guarantee.COMPLETE, attempt.id, f"received the answer to {attempt.named}")
     if not attempt.succeeded:
         return
-    bodies = {f"{t.worker.instance} ran {attempt.id}" for t, _ in seen.ran[attempt.id]}
+    bodies = {f"{t.worker.instance} ran {attempt.id}" for t, _ in index.runs_by_id[attempt.id]}
     if not attempt.sealed or attempt.body.decode("latin-1") not in bodies:
-        yield Violation(Guarantee.WHOLE, attempt.id, f"got {attempt.body[:60]!r}")
+        yield Violation(Guarantee.COMPLETE, attempt.id, f"received the body {attempt.body[:60]!r}")
 
 
-def _not_run(seen: Seen, attempt: AttemptRecord) -> Iterator[Violation]:
+def _check_not_run(index: ObservationIndex, attempt: AttemptRecord) -> Iterator[Violation]:
+    """Check that a request was not run if its answer says so."""
     refused = attempt.outcome is AttemptOutcome.ANSWERED and attempt.status in PROMISES
-    if refused and not seen.kinds[attempt.kind].repeatable and seen.ran[attempt.id]:
-        where = seen.ran[attempt.id][0][0].worker.instance
-        yield Violation(Guarantee.NOT_RUN, attempt.id, f"{attempt.status}, yet {where} ran it")
-
-
-def _in_time(seen: Seen, attempt: AttemptRecord) -> Iterator[Violation]:
-    if seen.unplanned(attempt.sent - seen.day.bounds.contact, attempt.ended):
+    if (
+        refused
+        and not index.kinds_by_name[attempt.kind].repeatable
+        and index.runs_by_id[attempt.id]
+    ):
+        instance = index.runs_by_id[attempt.id][0][0].worker.instance
+        yield Violation(
+            Guarantee.NOT_RUN, attempt.id, f"answered {attempt.status}, but {instance} ran it"
+        )
+
+
+def _check_in_time(index: ObservationIndex, attempt: AttemptRecord) -> Iterator[Violation]:
+    """Check that an attempt ends by its deadline."""
+    if index.has_unplanned_fault(attempt.sent - index.scenario.bounds.contact, attempt.ended):
         return
-    allowed = seen.kinds[attempt.kind].deadline_ms / 1000 + _HELD_S
-    if attempt.ended - attempt.sent > allowed:
-        held = attempt.ended - attempt.sent
-        yield Violation(Guarantee.IN_TIME, attempt.id, f"held {held:.2f} s at {attempt.box}")
+    limit_s = index.kinds_by_name[attempt.kind].deadline_ms / 1000 + _HOLD_TOLERANCE_S
+    if attempt.ended - attempt.sent > limit_s:
+        held_s = attempt.ended - attempt.sent
+        yield Violation(Guarantee.IN_TIME, attempt.id, f"held {held_s:.2f} s at {attempt.box}")
+
 
+def _check_not_rejected(attempt: AttemptRecord) -> Iterator[Violation]:
+    """Check that no answer is a redirect or client error.
 
-def _denied(attempt: AttemptRecord) -> Iterator[Violation]:
-    """Check that no request ends with a 3xx or 4xx; targets here give none, and all is proper."""
-    turned_down = 300 <= attempt.status < 500 and attempt.status not in PROMISES
-    if attempt.outcome is AttemptOutcome.ANSWERED and turned_down:
-        yield Violation(Guarantee.DENIED, attempt.id, f"{attempt.status} from {attempt.box}")
+    All requests of a scenario are valid and its targets send no such answers, so one can
+    only come from a box.
+    """
+    rejected = 300 <= attempt.status < 500 and attempt.status not in PROMISES
+    if attempt.outcome is AttemptOutcome.ANSWERED and rejected:
+        yield Violation(Guarantee.NOT_REJECTED, attempt.id, f"{attempt.status} from {attempt.box}")
--- a/dunlinnotch/lab/checker/common.py
+++ b/dunlinnotch/lab/checker/common.py
@@ -1,4 +1,4 @@
-"""What was seen in a day, indexed for the checks, and what a check finds."""
+"""Observations of a scenario, an index of them for the checks, and violations."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
     from dunlinnotch.standins.users.worker import Arrival, Ran
     from dunlinnotch.types import Address, Seconds
 
-#: Time beyond a bound that is put down to timers, in seconds.
-SLACK_S = 0.3
-#: Troubles after which a box may have forgotten what a target told it, or hears it late.
-BOX_OR_LINK = frozenset(
+#: Added to every time limit, because timers fire late.
+TIMER_TOLERANCE_S = 0.3
+#: Faults by which a box loses, or receives late, what a target reported to it.
+BOX_OR_LINK_FAULTS = frozenset(
     {
         FaultKind.BOX_KILL,
         FaultKind.BOX_FREEZE,
@@ -34,58 +34,58 @@
 
 
 class Guarantee(StrEnum):
-    """What must hold."""
+    """What the balancer must keep through all faults; the values appear in saved results."""
 
-    #: The whole answer, to its own request only.
-    WHOLE = "whole-answer"
-    #: Nothing runs that no caller sent, or not as it was sent.
+    #: A caller receives the complete answer, and the one to its own request.
+    COMPLETE = "whole-answer"
+    #: Targets run only requests that a caller sent, unaltered.
     AS_SENT = "as-sent"
-    #: What may not be repeated runs at most once.
-    ONCE = "at-most-once"
-    #: What is refused as not run has not run.
+    #: A request that must not be repeated runs at most once.
+    AT_MOST_ONCE = "at-most-once"
+    #: A request refused as not run did not run.
     NOT_RUN = "refused-as-not-run"
-    #: A leaving target gets nothing new, by whichever way its leaving was told.
+    #: A leaving target receives no new requests, however it announced that it leaves.
     DRAIN = "drain"
-    #: A change of the settings is in force everywhere and stays so.
+    #: A settings change becomes active on all boxes and remains so.
     SETTINGS = "settings-in-force"
-    #: A planned stop cuts off no request.
-    STOP = "planned-stop"
-    #: A box that is asked to stop says in time that it is not ready.
+    #: A planned stop breaks no request.
+    PLANNED_STOP = "planned-stop"
+    #: A box that is told to stop soon reports that it is not ready.
     NOT_READY = "not-ready"
-    #: Nothing is held beyond its time.
+    #: No request is held beyond its deadline.
     IN_TIME = "in-time"
-    #: A request under which three targets ended ends no more than three others.
-    BARRED = "barred"
-    #: A target that asks a box for rest gets nothing from it until that is over.
-    REST = "rest"
-    #: No proper request is turned down as if it were not.
-    DENIED = "denied"
-    #: Work ends, and nothing more is sent, once a caller has left.
-    GONE = "caller-gone"
-    #: A request goes to no more targets than its kind allows.
-    TRIES = "tries"
-    #: Repeats at a service stay within their budget, those of all boxes together.
-    REPEATS = "repeat-budget"
+    #: A request that crashed three targets crashes at most three more.
+    QUARANTINE = "barred"
+    #: A box sends nothing to a target during the back-off that the target requested.
+    BACKOFF = "rest"
+    #: No valid request is rejected as invalid.
+    NOT_REJECTED = "denied"
+    #: Once a caller has disconnected, its request is cancelled and not forwarded again.
+    CALLER_GONE = "caller-gone"
+    #: A request is sent to no more targets than its kind allows.
+    MAX_ATTEMPTS = "tries"
+    #: Retries at a service by all boxes together stay within their budget.
+    RETRY_BUDGET = "repeat-budget"
     #: A target is given no more time than the caller has left.
-    TIME_GIVEN = "time-given"
-    #: Probes of a target stay within their budget.
-    PROBES = "probe-budget"
-    #: Callers are served again once the troubles are over.
+    TIME_LIMIT = "time-given"
+    #: Probes of a target by all boxes together stay within their budget.
+    PROBE_BUDGET = "probe-budget"
+    #: Callers are served again after the last fault.
     RECOVERY = "recovery"
 
 
-#: Promises with a time in them: on a machine that is too busy they may seem broken.
-TIMED = frozenset(
+#: Guarantees with a time limit: on an overloaded machine they may be violated by the machine.
+TIMED_GUARANTEES = frozenset(
     {
         Guarantee.DRAIN,
         Guarantee.SETTINGS,
         Guarantee.NOT_READY,
         Guarantee.IN_TIME,
-        Guarantee.BARRED,
-        Guarantee.REST,
-        Guarantee.GONE,
-        Guarantee.TIME_GIVEN,
-        Guarantee.PROBES,
+        Guarantee.QUARANTINE,
+        Guarantee.BACKOFF,
+        Guarantee.CALLER_GONE,
+        Guarantee.TIME_LIMIT,
+        Guarantee.PROBE_BUDGET,
         Guarantee.RECOVERY,
     }
 )
@@ -93,113 +93,132 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One broken promise."""
+    """One violation of a guarantee.
 
-    promise: Guarantee
+    Parameters
+    ----------
+    guarantee : Guarantee
+    subject : str
+        The attempt, target, box or service concerned.
+    detail : str
+        What was observed.
+    """
+
+    guarantee: Guarantee
     subject: str
     detail: str
 
 
 @dataclass(frozen=True, slots=True)
 class FaultWindow:
-    """A time in which something was wrong, in monotonic seconds."""
+    """The period in which a fault lasted, in monotonic seconds."""
 
     kind: FaultKind
     start: Seconds
     end: Seconds
 
-    def touches(self, start: Seconds, end: Seconds) -> bool:
-        """Return whether a span of time meets this one."""
+    def overlaps(self, start: Seconds, end: Seconds) -> bool:
+        """Return whether the period from ``start`` to ``end`` overlaps this one."""
         return self.start <= end and start <= self.end
 
 
 @dataclass(slots=True)
 class BoxStop:
-    """A box that was asked to stop, in monotonic seconds.
+    """A box that was told to stop; times in monotonic seconds.
 
     Parameters
     ----------
     box : str
-    asked : float
-    not_ready : float
-        When it first said that it is not ready, or was not there to be asked.
+    requested_at : float
+    not_ready_at : float
+        When it first reported that it is not ready, or did not answer; infinite until then.
     """
 
     box: str
-    asked: Seconds
-    not_ready: Seconds = math.inf
+    requested_at: Seconds
+    not_ready_at: Seconds = math.inf
 
 
 @dataclass(frozen=True, slots=True)
 class Observations:
-    """What was seen in a day.
+    """What callers and targets observed in a scenario; times in monotonic seconds.
 
     Parameters
     ----------
-    began, ended : float
-        Of the traffic.
-    moves : dict of str to sequence of (float, str)
-        For each kind, when it went to which service.
-    deadly : sequence of AttemptRecord
-        Attempts of a request that ends the targets that run it; nobody misses them.
-    left : sequence of AttemptRecord
-        Attempts of requests of long work whose callers left amid it.
+    scenario : Scenario
+    started_at, ended_at : float
+        Start and end of the traffic.
+    attempts : sequence of AttemptRecord
+        Attempts of ordinary requests.
+    targets : sequence of Target
+        All targets, those that have terminated included.
+    fault_windows : sequence of FaultWindow
+    route_changes : dict of str to list of (float, str)
+        For each kind, the times at which it was routed to a service, and the service.
+    crashing : sequence of AttemptRecord
+        Attempts of requests that crash the targets that run them; they need not succeed.
+    abandoned : sequence of AttemptRecord
+        Attempts of slow requests whose callers disconnect before the answer.
     stops : sequence of BoxStop
     """
 
-    day: Scenario
-    began: Seconds
-    ended: Seconds
+    scenario: Scenario
+    started_at: Seconds
+    ended_at: Seconds
     attempts: Sequence[AttemptRecord]
     targets: Sequence[Target]
-    windows: Sequence[FaultWindow]
-    moves: dict[str, list[tuple[Seconds, str]]]
-    deadly: Sequence[AttemptRecord] = ()
-    left: Sequence[AttemptRecord] = ()
+    fault_windows: Sequence[FaultWindow]
+    route_changes: dict[str, list[tuple[Seconds, str]]]
+    crashing: Sequence[AttemptRecord] = ()
+    abandoned: Sequence[AttemptRecord] = ()
     stops: Sequence[BoxStop] = ()
 
 
-class Seen:
-    """What was seen in a day, found by request, kind and target.
+class ObservationIndex:
+    """Observations indexed by attempt, kind and box.
 
     Parameters
     ----------
-    evidence : Evidence
+    observations : Observations
 
     Attributes
     ----------
-    attempts : dict of str to AttemptRecord
-        By id, those included of requests that end targets or whose callers left.
-    ran : dict of str to list of (Target, Ran)
-        By id, where each was run.
+    attempts_by_id : dict of str to AttemptRecord
+        Includes the crashing and the abandoned attempts.
+    kinds_by_name : dict of str to KindPlan
+    runs_by_id : dict of str to list of (Target, Ran)
+        The targets that ran an attempt, by its id.
     """
 
-    def __init__(self, evidence: Observations) -> None:
-        self.evidence = evidence
-        self.day = evidence.day
-        sent = (*evidence.attempts, *evidence.deadly, *evidence.left)
-        self.attempts = {attempt.id: attempt for attempt in sent}
-        self.kinds: dict[str, KindPlan] = {kind.name: kind for kind in self.day.kinds}
-        self.ran: dict[str, list[tuple[Target, Ran]]] = defaultdict(list)
-        for target in evidence.targets:
+    def __init__(self, observations: Observations) -> None:
+        self.observations = observations
+        self.scenario = observations.scenario
+        all_attempts = (*observations.attempts, *observations.crashing, *observations.abandoned)
+        self.attempts_by_id = {attempt.id: attempt for attempt in all_attempts}
+        self.kinds_by_name: dict[str, KindPlan] = {kind.name: kind for kind in self.scenario.kinds}
+        self.runs_by_id: dict[str, list[tuple[Target, Ran]]] = defaultdict(list)
+        for target in observations.targets:
             for run in target.worker.ran:
-                self.ran[run.request_id].append((target, run))
+                self.runs_by_id[run.request_id].append((target, run))
 
-    def by_box(self, target: Target) -> Iterator[tuple[Address, list[Arrival]]]:
-        """Yield what reached a target, for each box that sent it."""
-        boxes: dict[Address, list[Arrival]] = defaultdict(list)
+    def arrivals_by_box(self, target: Target) -> Iterator[tuple[Address, list[Arrival]]]:
+        """Yield each box that sent requests to a target, and the arrivals of these requests."""
+        arrivals: dict[Address, list[Arrival]] = defaultdict(list)
         for arrival in target.worker.arrivals:
-            attempt = self.attempts.get(arrival.request_id)
+            attempt = self.attempts_by_id.get(arrival.request_id)
             if attempt is not None:
-                boxes[attempt.box].append(arrival)
-        yield from boxes.items()
+                arrivals[attempt.box].append(arrival)
+        yield from arrivals.items()
 
-    def unplanned(self, start: Seconds, end: Seconds) -> bool:
-        """Return whether anything but planned work went on in a span of time."""
+    def has_unplanned_fault(self, start: Seconds, end: Seconds) -> bool:
+        """Return whether any unplanned fault lasted between ``start`` and ``end``."""
         return any(
-            w.kind not in PLANNED_FAULTS and w.touches(start, end) for w in self.evidence.windows
+            w.kind not in PLANNED_FAULTS and w.overlaps(start, end)
+            for w in self.observations.fault_windows
         )
 
-    def troubled(self, kinds: Collection[FaultKind], start: Seconds, end: Seconds) -> bool:
-        """Return whether a trouble of some kinds went on in a span of time."""
-        return any(w.kind in kinds and w.touches(start, end) for w in self.evidence.windows)
+    def has_fault(self, kinds: Collection[FaultKind], start: Seconds, end: Seconds) -> bool:
+        """Return whether a fault of one of the kinds lasted between ``start`` and ``end``."""
+        return any(
+            w.kind in kinds and w.overlaps(start, end) for w in self.observations.fault_windows
+        )
--- a/dunlinnotch/lab/checker/settings.py
+++ b/dunlinnotch/lab/checker/settings.py
@@ -1,44 +1,57 @@
-"""Checks of the settings by which requests were run."""
+"""Check that requests are routed by the active settings."""
 
 from __future__ import annotations
 
 from typing import TYPE_CHECKING
 
-from dunlinnotch.lab.checker.common import SLACK_S, Guarantee, Violation
+from dunlinnotch.lab.checker.common import TIMER_TOLERANCE_S, Guarantee, Violation
 from dunlinnotch.lab.fleet import prefix_of
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
 
-    from dunlinnotch.lab.checker.common import Seen
+    from dunlinnotch.lab.checker.common import ObservationIndex
     from dunlinnotch.lab.fleet import Target
     from dunlinnotch.standins.users.worker import Ran
     from dunlinnotch.types import Seconds
 
 
-def check(seen: Seen) -> Iterator[Violation]:
-    """Yield what was run by settings no longer, or not yet, in force."""
-    for kind, moves in seen.evidence.moves.items():
-        prefix = prefix_of(seen.kinds[kind])
-        for target in seen.evidence.targets:
+def check(index: ObservationIndex) -> Iterator[Violation]:
+    """Yield runs of requests at services that no active settings routed them to."""
+    for kind, route_changes in index.observations.route_changes.items():
+        prefix = prefix_of(index.kinds_by_name[kind])
+        for target in index.observations.targets:
             for run in target.worker.ran:
                 if run.path.startswith(prefix):
-                    yield from _by_settings(seen, kind, moves, target, run)
+                    yield from _check_run(index, kind, route_changes, target, run)
 
 
-def _by_settings(
-    seen: Seen, kind: str, moves: list[tuple[Seconds, str]], target: Target, run: Ran
+def _check_run(
+    index: ObservationIndex,
+    kind: str,
+    route_changes: list[tuple[Seconds, str]],
+    target: Target,
+    run: Ran,
 ) -> Iterator[Violation]:
-    attempt = seen.attempts.get(run.request_id)
+    """Check that a request ran at a service of settings written and not yet replaced.
+
+    Replaced settings may be used until ``apply`` seconds after the change, and without
+    limit if an unplanned fault may have kept a box from reading the change.
+    """
+    attempt = index.attempts_by_id.get(run.request_id)
     if attempt is None:
         return
-    allowed = {service for at, service in moves if at <= run.arrived}
-    for (_, old), (changed, _) in zip(moves, moves[1:], strict=False):
-        limit = changed + seen.day.bounds.apply + SLACK_S
-        newer = [service for at, service in moves if changed <= at <= run.arrived]
-        excused = seen.unplanned(changed - seen.day.bounds.contact, attempt.sent)
-        if attempt.sent > limit and old not in newer and not excused:
-            allowed.discard(old)
+    allowed = {service for at, service in route_changes if at <= run.arrived}
+    for (_, old_service), (changed_at, _) in zip(route_changes, route_changes[1:], strict=False):
+        limit = changed_at + index.scenario.bounds.apply + TIMER_TOLERANCE_S
+        newer_services = [
+            service for at, service in route_changes if changed_at <= at <= run.arrived
+        ]
+        excused = index.has_unplanned_fault(
+            changed_at - index.scenario.bounds.contact, attempt.sent
+        )
+        if attempt.sent > limit and old_service not in newer_services and not excused:
+            allowed.discard(old_service)
     if target.service not in allowed:
         detail = f"{kind} {run.request_id} ran at service {target.service}"
         yield Violation(Guarantee.SETTINGS, target.worker.instance, detail)
--- a/dunlinnotch/lab/checker/work.py
+++ b/dunlinnotch/lab/checker/work.py
@@ -1,179 +1,209 @@
-"""Checks of the work that reached targets, and of what they had told boxes before."""
+"""Checks of the requests that reached targets."""
 
 from __future__ import annotations
 
 from collections import defaultdict
 from typing import TYPE_CHECKING
 
-from dunlinnotch.lab.checker.common import BOX_OR_LINK, SLACK_S, Guarantee, Violation
+from dunlinnotch.lab.checker.common import (
+    BOX_OR_LINK_FAULTS,
+    TIMER_TOLERANCE_S,
+    Guarantee,
+    Violation,
+)
 from dunlinnotch.lab.fleet import LONG_S
 from dunlinnotch.standins.users.caller import AttemptOutcome
 
 if TYPE_CHECKING:
     from collections.abc import Iterator, Sequence
 
-    from dunlinnotch.lab.checker.common import Seen
+    from dunlinnotch.lab.checker.common import ObservationIndex
     from dunlinnotch.lab.fleet import Target
     from dunlinnotch.standins.users.worker import Arrival
     from dunlinnotch.types import Address, Seconds
 
-#: Targets that may end under one request before all boxes are to know it, and after.
-_ENDED_MOST = 3
-#: What was under way when a target asked for rest may arrive for so long, in seconds.
-_UNDER_WAY_S = 0.5
-#: Requests that may reach a target in one rest all the same.
-_IN_REST_MOST = 2
-#: Time that a target is given beyond what its caller has left, at most, in seconds.
-_GIVEN_S = 0.5
-#: A repeat so long after the first try must have been given less time, in seconds.
-_LATER_S = 0.5
-#: What a caller has left may still arrive, or be worked on, for so long, in seconds.
-_AFTER_LEAVING_S = 0.5
-#: Requests that may arrive later all the same; share of those worked on that may go on,
-#: and how many there must be for a share to say something.
-_LATE_MOST, _WORKING_SHARE, _LASTING_LEAST = 3, 0.25, 4
-
-
-def check(seen: Seen) -> Iterator[Violation]:
-    """Yield what is wrong with the work that reached targets."""
-    yield from _once(seen)
-    yield from _as_sent(seen)
-    yield from _time_given(seen)
-    yield from _drain(seen)
-    yield from _barred(seen)
-    yield from _gone(seen)
-    for target in seen.evidence.targets:
-        for box, arrivals in seen.by_box(target):
-            yield from _rest(seen, target, box, arrivals)
-            yield from _drain_as_told(seen, target, box, arrivals)
-
-
-def _once(seen: Seen) -> Iterator[Violation]:
-    for request_id, runs in seen.ran.items():
-        attempt = seen.attempts.get(request_id)
-        if attempt is None or seen.kinds[attempt.kind].repeatable or len(runs) < 2:
+#: Crashes that a box may need to see before it quarantines a request; also the crashes
+#: allowed after all boxes must know.
+_MAX_CRASHES = 3
+#: Requests already in flight may arrive for this long after a target requests back-off.
+_IN_FLIGHT_S = 0.5
+_MAX_DURING_BACKOFF = 2
+#: Allows for timers when the time given to a target is compared with the caller's deadline.
+_TIME_TOLERANCE_S = 0.5
+#: Later than this after the first attempt, a retry must carry a shorter deadline.
+_RETRY_GAP_S = 0.5
+#: Time in which a box must notice that a caller has disconnected.
+_DISCONNECT_GRACE_S = 0.5
+#: Requests of callers that have left: late arrivals tolerated, share of the long requests
+#: that may continue, and how many long requests it takes to check that share.
+_MAX_LATE_RUNS, _MAX_WORKING_SHARE, _MIN_LONG_RUNS = 3, 0.25, 4
+
+
+def check(index: ObservationIndex) -> Iterator[Violation]:
+    """Yield violations in the requests that reached targets."""
+    yield from _check_at_most_once(index)
+    yield from _check_as_sent(index)
+    yield from _check_time_limit(index)
+    yield from _check_drain(index)
+    yield from _check_quarantine(index)
+    yield from _check_caller_gone(index)
+    for target in index.observations.targets:
+        for box, arrivals in index.arrivals_by_box(target):
+            yield from _check_backoff(index, target, box, arrivals)
+            yield from _check_announced_drain(index, target, box, arrivals)
+
+
+def _check_at_most_once(index: ObservationIndex) -> Iterator[Violation]:
+    """Check that no request that must not be repeated ran more than once."""
+    for request_id, runs in index.runs_by_id.items():
+        attempt = index.attempts_by_id.get(request_id)
+        if attempt is None or index.kinds_by_name[attempt.kind].repeatable or len(runs) < 2:
             continue
-        where = ", ".join(target.worker.instance for target, _ in runs)
-        yield Violation(Guarantee.ONCE, request_id, f"ran at {where}")
+        instances = ", ".join(target.worker.instance for target, _ in runs)
+        yield Violation(Guarantee.AT_MOST_ONCE, request_id, f"ran at {instances}")
 
 
-def _as_sent(seen: Seen) -> Iterator[Violation]:
-    for request_id, runs in seen.ran.items():
-        attempt = seen.attempts.get(request_id)
+def _check_as_sent(index: ObservationIndex) -> Iterator[Violation]:
+    """Check that whatever ran was sent by a caller, with the same method and path."""
+    for request_id, runs in index.runs_by_id.items():
+        attempt = index.attempts_by_id.get(request_id)
         for target, run in runs:
             if attempt is None:
-                yield Violation(Guarantee.AS_SENT, request_id, "no caller sent it")
+                yield Violation(Guarantee.AS_SENT, request_id, "not sent by any caller")
             elif (run.method, run.path) != (attempt.method, attempt.path):
                 detail = f"{target.worker.instance} ran {run.method} {run.path}"
                 yield Violation(Guarantee.AS_SENT, request_id, detail)
 
 
-def _drain(seen: Seen) -> Iterator[Violation]:
-    bounds = seen.day.bounds
-    for target in seen.evidence.targets:
+def _check_drain(index: ObservationIndex) -> Iterator[Violation]:
+    """Check that a leaving target receives no requests once boxes must know that it leaves."""
+    bounds = index.scenario.bounds
+    for target in index.observations.targets:
         if target.leaving_at is None:
             continue
-        allowed = target.leaving_at + bounds.drain + SLACK_S
+        limit = target.leaving_at + bounds.drain + TIMER_TOLERANCE_S
         for run in target.worker.ran:
-            late = run.arrived - allowed
-            if late > 0 and not seen.unplanned(target.leaving_at - bounds.contact, allowed):
-                detail = f"{run.request_id} reached it {late:.2f} s too late"
+            delay_s = run.arrived - limit
+            if delay_s > 0 and not index.has_unplanned_fault(
+                target.leaving_at - bounds.contact, limit
+            ):
+                detail = f"{run.request_id} arrived {delay_s:.2f} s after the drain limit"
                 yield Violation(Guarantee.DRAIN, target.worker.instance, detail)
 
 
-def _barred(seen: Seen) -> Iterator[Violation]:
-    """Check that targets are spared once some have ended under a request."""
-    contact = seen.day.bounds.contact
-    ids = {attempt.id for attempt in seen.evidence.deadly}
-    runs = sorted(
+def _check_quarantine(index: ObservationIndex) -> Iterator[Violation]:
+    """Check that a request that crashes targets is sent to no more of them."""
+    contact = index.scenario.bounds.contact
+    ids = {attempt.id for attempt in index.observations.crashing}
+    crashes = sorted(
         (run.arrived, target.worker.instance)
-        for target in seen.evidence.targets
+        for target in index.observations.targets
         for run in target.worker.ran
         if run.request_id in ids
     )
-    if len(runs) <= _ENDED_MOST:
+    if len(crashes) <= _MAX_CRASHES:
         return
-    known_at = runs[_ENDED_MOST - 1][0] + contact + SLACK_S
-    late = [
-        (at, name) for at, name in runs if at > known_at and not seen.unplanned(at - contact, at)
+    quarantined_by = crashes[_MAX_CRASHES - 1][0] + contact + TIMER_TOLERANCE_S
+    late_crashes = [
+        (at, name)
+        for at, name in crashes
+        if at > quarantined_by and not index.has_unplanned_fault(at - contact, at)
     ]
-    if len(late) > _ENDED_MOST:
-        detail = f"{len(runs)} ended under one request, {len(late)} of them too late"
-        yield Violation(Guarantee.BARRED, late[-1][1], detail)
+    if len(late_crashes) > _MAX_CRASHES:
+        detail = (
+            f"{len(crashes)} targets crashed while running one request, "
+            f"{len(late_crashes)} of them after it should have been quarantined"
+        )
+        yield Violation(Guarantee.QUARANTINE, late_crashes[-1][1], detail)
 
 
-def _time_given(seen: Seen) -> Iterator[Violation]:
-    """Check that no target is given more time than the caller stated, nor more on a repeat.
+def _check_time_limit(index: ObservationIndex) -> Iterator[Violation]:
+    """Check that no target is given more time than the caller has left, also on retries.
 
     Notes
     -----
-    What counts is the time that a box hands on.  A box that is held up before it has read
-    a request can't know how long the request has waited for that.
+    The time that a box passes on is checked. A box that is delayed before it reads a
+    request cannot know how long the request has waited.
     """
-    reached: dict[str, list[Arrival]] = defaultdict(list)
-    for target in seen.evidence.targets:
+    arrivals_by_id: dict[str, list[Arrival]] = defaultdict(list)
+    for target in index.observations.targets:
         for arrival in target.worker.arrivals:
-            reached[arrival.request_id].append(arrival)
-    for request_id, arrivals in reached.items():
-        attempt = seen.attempts.get(request_id)
-        if attempt is None or seen.unplanned(attempt.sent - seen.day.bounds.contact, attempt.until):
+            arrivals_by_id[arrival.request_id].append(arrival)
+    for request_id, arrivals in arrivals_by_id.items():
+        attempt = index.attempts_by_id.get(request_id)
+        if attempt is None or index.has_unplanned_fault(
+            attempt.sent - index.scenario.bounds.contact, attempt.until
+        ):
             continue
         first = min(arrivals, key=lambda arrival: arrival.at)
         for arrival in arrivals:
-            beyond = arrival.given - (attempt.until - attempt.sent)
-            if arrival.at > first.at + _LATER_S:
+            excess_s = arrival.given - (attempt.until - attempt.sent)
+            if arrival.at > first.at + _RETRY_GAP_S:
                 end = max(first.at + first.given, attempt.until)
-                beyond = max(beyond, arrival.at + arrival.given - end)
-            if beyond > _GIVEN_S:
-                detail = f"a target was given {beyond:.2f} s more than its caller has"
-                yield Violation(Guarantee.TIME_GIVEN, request_id, detail)
-
-
-def _gone(seen: Seen) -> Iterator[Violation]:
-    """Check that what callers have left is neither sent on nor worked on for long."""
-    late = lasting = working = 0
-    for attempt in seen.evidence.left:
-        over = attempt.ended + _AFTER_LEAVING_S
-        left = attempt.outcome is AttemptOutcome.LEFT
-        if not left or seen.unplanned(attempt.sent - seen.day.bounds.contact, over):
+                excess_s = max(excess_s, arrival.at + arrival.given - end)
+            if excess_s > _TIME_TOLERANCE_S:
+                detail = f"a target was given {excess_s:.2f} s more than its caller has left"
+                yield Violation(Guarantee.TIME_LIMIT, request_id, detail)
+
+
+def _check_caller_gone(index: ObservationIndex) -> Iterator[Violation]:
+    """Check that a caller's disconnection soon ends its request at boxes and targets."""
+    late_runs = long_runs = working_runs = 0
+    for attempt in index.observations.abandoned:
+        limit = attempt.ended + _DISCONNECT_GRACE_S
+        caller_left = attempt.outcome is AttemptOutcome.LEFT
+        if not caller_left or index.has_unplanned_fault(
+            attempt.sent - index.scenario.bounds.contact, limit
+        ):
             continue
-        for _, run in seen.ran[attempt.id]:
-            late += run.arrived > over
-            lasts = run.arrived <= over < run.arrived + LONG_S
-            lasting += lasts
-            working += lasts and not 0 < run.ended <= over
-    if late > _LATE_MOST:
-        yield Violation(Guarantee.GONE, "callers that left", f"{late} requests were sent on later")
-    if lasting >= _LASTING_LEAST and working > lasting * _WORKING_SHARE:
-        detail = f"{working} of {lasting} requests were still worked on"
-        yield Violation(Guarantee.GONE, "callers that left", detail)
-
-
-def _rest(
-    seen: Seen, target: Target, box: Address, arrivals: Sequence[Arrival]
+        for _, run in index.runs_by_id[attempt.id]:
+            late_runs += run.arrived > limit
+            is_long = run.arrived <= limit < run.arrived + LONG_S
+            long_runs += is_long
+            working_runs += is_long and not 0 < run.ended <= limit
+    if late_runs > _MAX_LATE_RUNS:
+        yield Violation(
+            Guarantee.CALLER_GONE,
+            "callers that left",
+            f"{late_runs} requests were forwarded after their callers had left",
+        )
+    if long_runs >= _MIN_LONG_RUNS and working_runs > long_runs * _MAX_WORKING_SHARE:
+        detail = f"{working_runs} of {long_runs} requests were not cancelled"
+        yield Violation(Guarantee.CALLER_GONE, "callers that left", detail)
+
+
+def _check_backoff(
+    index: ObservationIndex, target: Target, box: Address, arrivals: Sequence[Arrival]
 ) -> Iterator[Violation]:
-    """Check that a box sends nothing to a target that asked it for rest."""
-    for asked in arrivals:
-        if not asked.rest:
+    """Check that a box sends nothing to a target during the back-off requested from it."""
+    for refusal in arrivals:
+        if not refusal.rest:
             continue
-        over = asked.answered_at + asked.rest
-        since = asked.answered_at + _UNDER_WAY_S
-        got = sum(since < arrival.at < over for arrival in arrivals)
-        if got > _IN_REST_MOST and not seen.troubled(BOX_OR_LINK, asked.answered_at, over):
-            detail = f"got {got} requests from {box} in {asked.rest:g} s of rest"
-            yield Violation(Guarantee.REST, target.worker.instance, detail)
-
-
-def _drain_as_told(
-    seen: Seen, target: Target, box: Address, arrivals: Sequence[Arrival]
+        end = refusal.answered_at + refusal.rest
+        start = refusal.answered_at + _IN_FLIGHT_S
+        received = sum(start < arrival.at < end for arrival in arrivals)
+        if received > _MAX_DURING_BACKOFF and not index.has_fault(
+            BOX_OR_LINK_FAULTS, refusal.answered_at, end
+        ):
+            detail = f"received {received} requests from {box} in {refusal.rest:g} s of back-off"
+            yield Violation(Guarantee.BACKOFF, target.worker.instance, detail)
+
+
+def _check_announced_drain(
+    index: ObservationIndex, target: Target, box: Address, arrivals: Sequence[Arrival]
 ) -> Iterator[Violation]:
-    """Check that a box sends nothing to a target that told it in an answer that it leaves."""
-    told: Seconds | None = min((a.answered_at for a in arrivals if a.said_leaving), default=None)
-    if told is None:
+    """Check that a box sends nothing to a target that announced in an answer that it leaves."""
+    announced_at: Seconds | None = min(
+        (a.answered_at for a in arrivals if a.said_leaving), default=None
+    )
+    if announced_at is None:
         return
-    limit = told + seen.day.bounds.drain + SLACK_S
+    limit = announced_at + index.scenario.bounds.drain + TIMER_TOLERANCE_S
     for arrival in arrivals:
-        sent = seen.attempts[arrival.request_id].sent
-        if sent > limit and not seen.troubled(BOX_OR_LINK, told, arrival.at):
-            detail = f"{arrival.request_id} came from {box} {sent - told:.2f} s after its word"
+        sent = index.attempts_by_id[arrival.request_id].sent
+        if sent > limit and not index.has_fault(BOX_OR_LINK_FAULTS, announced_at, arrival.at):
+            detail = (
+                f"{arrival.request_id} came from {box} {sent - announced_at:.2f} s after the "
+                "target announced that it leaves"
+            )
             yield Violation(Guarantee.DRAIN, target.worker.instance, detail)
--- a/dunlinnotch/lab/faults.py
+++ b/dunlinnotch/lab/faults.py
@@ -267,7 +267,7 @@
             noted = BoxStop(box.name, self._loop.time())
             self.stops.append(noted)
             await box.wait_not_ready()
-            noted.not_ready = self._loop.time()
+            noted.not_ready_at = self._loop.time()
             await box.ended()
             box.start()
             await box.wait_ready()
--- a/dunlinnotch/lab/report.py
+++ b/dunlinnotch/lab/report.py
@@ -98,16 +98,16 @@
     for attempt in evidence.attempts:
         requests.setdefault(attempt.request, []).append(attempt)
     result = ScenarioResult(
-        name=evidence.day.name,
-        seed=evidence.day.seed,
+        name=evidence.scenario.name,
+        seed=evidence.scenario.seed,
         kinds=[],
-        findings=[f"{f.promise.value}: {f.subject}: {f.detail}" for f in findings],
+        findings=[f"{f.guarantee.value}: {f.subject}: {f.detail}" for f in findings],
         probes=sum(target.worker.probes for target in evidence.targets),
         store_calls=store_calls,
         attempts=len(evidence.attempts),
         tool_late=round(tool_late, 3),
     )
-    for kind in evidence.day.kinds:
+    for kind in evidence.scenario.kinds:
         own = [r for r in requests.values() if r[0].kind == kind.name]
         result.kinds.append(_kind_result(kind.name, own, kind.target_latency_ms))
     _by_second(result, evidence, list(requests.values()))
@@ -149,11 +149,11 @@
 def _by_second(
     result: ScenarioResult, evidence: Observations, requests: list[list[AttemptRecord]]
 ) -> None:
-    seconds = int((evidence.ended - evidence.began) / _SECOND_S) + 1
+    seconds = int((evidence.ended_at - evidence.started_at) / _SECOND_S) + 1
     times: list[list[float]] = [[] for _ in range(seconds)]
     asked = [0] * seconds
     for attempts in requests:
-        second = int((attempts[0].sent - evidence.began) / _SECOND_S)
+        second = int((attempts[0].sent - evidence.started_at) / _SECOND_S)
         if 0 <= second < seconds:
             asked[second] += 1
             if attempts[-1].succeeded:
--- a/dunlinnotch/lab/run.py
+++ b/dunlinnotch/lab/run.py
@@ -140,15 +140,15 @@
                 task.cancel()
             await asyncio.gather(telling, *causing, return_exceptions=True)
         evidence = Observations(
-            day=day,
-            began=began,
-            ended=ended,
+            scenario=day,
+            started_at=began,
+            ended_at=ended,
             attempts=callers.attempts,
             targets=[*fleet.targets, *fleet.ended],
-            windows=troubles.windows,
-            moves=fleet.moved_at,
-            deadly=troubles.deadly_attempts,
-            left=troubles.left_attempts,
+            fault_windows=troubles.windows,
+            route_changes=fleet.moved_at,
+            crashing=troubles.deadly_attempts,
+            abandoned=troubles.left_attempts,
             stops=troubles.stops,
         )
         return summarise(
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -16,7 +16,7 @@
 from dunlinnotch.cli.__main__ import application
 from dunlinnotch.cli.common import Exit
 from dunlinnotch.errors import ConfigError
-from dunlinnotch.lab.checker import TIMED
+from dunlinnotch.lab.checker import TIMED_GUARANTEES
 from dunlinnotch.lab.generate import generate_scenario
 from dunlinnotch.lab.link import FaultyLink, LinkState
 from dunlinnotch.lab.plot import plot
@@ -210,7 +210,7 @@
 
 def broken(seen):
     """Return the findings that no busy machine can cause."""
-    timed = tuple(f"{promise.value}: " for promise in TIMED)
+    timed = tuple(f"{promise.value}: " for promise in TIMED_GUARANTEES)
     return [finding for finding in seen.findings if not finding.startswith(timed)]
 
 
--- a/tests/test_lab_checker.py
+++ b/tests/test_lab_checker.py
@@ -60,7 +60,7 @@
 def judge(attempts, targets, *, windows=(), moves=None, ended=30.0, deadly=(), left=(), stops=()):
     moves = moves or {}
     evidence = Observations(DAY, 0.0, ended, attempts, targets, windows, moves, deadly, left, stops)
-    return [finding.promise for finding in judge_day(evidence)]
+    return [finding.guarantee for finding in judge_day(evidence)]
 
 
 def test_a_day_without_fault_has_no_findings():
@@ -82,13 +82,13 @@
 def test_an_answer_that_is_not_the_whole_own_one(seen):
     one = target()
     run_at(one, "a1")
-    assert judge([attempt("a1", **seen)], [one]) == [Guarantee.WHOLE]
+    assert judge([attempt("a1", **seen)], [one]) == [Guarantee.COMPLETE]
 
 
 def test_an_answer_with_another_s_name():
     one = target()
     run_at(one, "a1")
-    assert judge([attempt("a1", named="a2", status=500)], [one]) == [Guarantee.WHOLE]
+    assert judge([attempt("a1", named="a2", status=500)], [one]) == [Guarantee.COMPLETE]
 
 
 @pytest.mark.parametrize("status", [408, 421, 429, 503])
@@ -108,7 +108,7 @@
         run_at(where, "a1", kind="payment")
         run_at(where, "a2")
     attempts = [attempt("a1", kind="payment"), attempt("a2")]
-    assert judge(attempts, [one, two]) == [Guarantee.ONCE]
+    assert judge(attempts, [one, two]) == [Guarantee.AT_MOST_ONCE]
 
 
 @pytest.mark.parametrize(
@@ -164,7 +164,7 @@
 @pytest.mark.parametrize(
     ("windows", "found"),
     [
-        ([FaultWindow(FaultKind.BOX_STOP, 8.0, 12.0)], [Guarantee.STOP]),
+        ([FaultWindow(FaultKind.BOX_STOP, 8.0, 12.0)], [Guarantee.PLANNED_STOP]),
         ([FaultWindow(FaultKind.BOX_KILL, 8.0, 9.0)], []),
     ],
 )
@@ -187,7 +187,7 @@
 
 
 def test_more_probes_than_the_budget():
-    assert judge([], [target(probes=301)]) == [Guarantee.PROBES]
+    assert judge([], [target(probes=301)]) == [Guarantee.PROBE_BUDGET]
     assert judge([], [target(probes=299)]) == []
 
 
@@ -210,8 +210,8 @@
     ("late", "windows", "broken"),
     [
         (3, (), []),
-        (4, (), [Guarantee.BARRED]),
-        (4, [FaultWindow(FaultKind.DEADLY_REQUEST, 0.0, 30.0)], [Guarantee.BARRED]),
+        (4, (), [Guarantee.QUARANTINE]),
+        (4, [FaultWindow(FaultKind.DEADLY_REQUEST, 0.0, 30.0)], [Guarantee.QUARANTINE]),
         (4, [FaultWindow(FaultKind.STORE_DOWN, 0.0, 30.0)], []),
     ],
 )
@@ -237,14 +237,24 @@
 @pytest.mark.parametrize(
     ("times", "box", "windows", "found"),
     [
-        ([11.0, 11.5, 12.0], BOX, [], [Guarantee.REST]),
+        ([11.0, 11.5, 12.0], BOX, [], [Guarantee.BACKOFF]),
         ([11.0, 12.0], BOX, [], []),
         ([10.1, 10.2, 10.3, 12.0, 12.5], BOX, [], []),
         ([13.1, 13.2, 13.3], BOX, [], []),
         ([11.0, 11.5, 12.0], "127.0.0.1:2", [], []),
         ([11.0, 11.5, 12.0], BOX, [FaultWindow(FaultKind.BOX_STOP, 10.5, 11.0)], []),
-        ([11.0, 11.5, 12.0], BOX, [FaultWindow(FaultKind.BOX_FREEZE, 2.0, 5.0)], [Guarantee.REST]),
-        ([11.0, 11.5, 12.0], BOX, [FaultWindow(FaultKind.STORE_DOWN, 9.0, 15.0)], [Guarantee.REST]),
+        (
+            [11.0, 11.5, 12.0],
+            BOX,
+            [FaultWindow(FaultKind.BOX_FREEZE, 2.0, 5.0)],
+            [Guarantee.BACKOFF],
+        ),
+        (
+            [11.0, 11.5, 12.0],
+            BOX,
+            [FaultWindow(FaultKind.STORE_DOWN, 9.0, 15.0)],
+            [Guarantee.BACKOFF],
+        ),
     ],
 )
 def test_a_target_that_asked_for_rest_got_requests(times, box, windows, found):
@@ -269,7 +279,7 @@
     assert judge(seen, [one], windows=windows) == found
 
 
-@pytest.mark.parametrize(("targets", "found"), [(3, []), (4, [Guarantee.TRIES])])
+@pytest.mark.parametrize(("targets", "found"), [(3, []), (4, [Guarantee.MAX_ATTEMPTS])])
 def test_a_request_that_went_to_more_targets_than_its_kind_allows(targets, found):
     reached = [target(f"t{n}") for n in range(targets)]
     for one in reached:
@@ -279,7 +289,7 @@
 
 @pytest.mark.parametrize(
     ("repeats", "apart", "found"),
-    [(62, 0.0, []), (63, 0.0, [Guarantee.REPEATS]), (63, 0.2, [])],
+    [(62, 0.0, []), (63, 0.0, [Guarantee.RETRY_BUDGET]), (63, 0.2, [])],
 )
 def test_more_repeats_than_the_budget(repeats, apart, found):
     """Ten requests allow two repeats, and sixty beside."""
@@ -298,12 +308,12 @@
     [
         (2.0, None, [], []),
         (2.4, None, [], []),
-        (2.6, None, [], [Guarantee.TIME_GIVEN]),
+        (2.6, None, [], [Guarantee.TIME_LIMIT]),
         (2.6, None, [FaultWindow(FaultKind.BOX_FREEZE, 8.0, 9.0)], []),
-        (2.6, None, [FaultWindow(FaultKind.BURST, 8.0, 20.0)], [Guarantee.TIME_GIVEN]),
+        (2.6, None, [FaultWindow(FaultKind.BURST, 8.0, 20.0)], [Guarantee.TIME_LIMIT]),
         (2.0, (10.4, 2.0), [], []),
         (2.0, (11.0, 1.4), [], []),
-        (2.0, (11.0, 1.6), [], [Guarantee.TIME_GIVEN]),
+        (2.0, (11.0, 1.6), [], [Guarantee.TIME_LIMIT]),
         (2.3, (11.0, 1.7), [], []),
     ],
 )
@@ -321,11 +331,11 @@
     [
         ([10.7, 10.7, 10.7, 10.7], [], []),
         ([12.0, 10.7, 10.7, 10.7], [], []),
-        ([12.0, 12.0, 10.7, 10.7], [], [Guarantee.GONE]),
-        ([0.0, 0.0, 10.7, 10.7], [], [Guarantee.GONE]),
+        ([12.0, 12.0, 10.7, 10.7], [], [Guarantee.CALLER_GONE]),
+        ([0.0, 0.0, 10.7, 10.7], [], [Guarantee.CALLER_GONE]),
         ([12.0, 12.0, 12.0], [], []),
         ([12.0] * 4, [FaultWindow(FaultKind.TARGET_SILENT, 8.0, 11.0)], []),
-        ([12.0] * 4, [FaultWindow(FaultKind.CALLER_LEAVES, 8.0, 11.0)], [Guarantee.GONE]),
+        ([12.0] * 4, [FaultWindow(FaultKind.CALLER_LEAVES, 8.0, 11.0)], [Guarantee.CALLER_GONE]),
     ],
 )
 def test_work_that_goes_on_after_its_caller_has_left(ends, windows, found):
@@ -338,7 +348,7 @@
     assert judge([], [one], windows=windows, left=left) == found
 
 
-@pytest.mark.parametrize(("late", "found"), [(3, []), (4, [Guarantee.GONE])])
+@pytest.mark.parametrize(("late", "found"), [(3, []), (4, [Guarantee.CALLER_GONE])])
 def test_requests_that_are_sent_on_after_their_callers_have_left(late, found):
     one = target()
     for number in range(late):
@@ -349,7 +359,7 @@
 
 @pytest.mark.parametrize(
     ("status", "found"),
-    [(404, [Guarantee.DENIED]), (307, [Guarantee.DENIED]), (429, []), (502, [])],
+    [(404, [Guarantee.NOT_REJECTED]), (307, [Guarantee.NOT_REJECTED]), (429, []), (502, [])],
 )
 def test_a_proper_request_that_is_turned_down(status, found):
     assert judge([attempt("a1", status=status)], []) == found
