--- a/tests/test_lab_checker.py
+++ b/tests/test_lab_checker.py
@@ -1,4 +1,4 @@
-"""The referee sees each broken promise, and excuses only what it should."""
+"""The checker reports each violated guarantee and excuses only what unplanned faults explain."""
 
 from __future__ import annotations
 
@@ -6,14 +6,13 @@
 
 import pytest
 
-from dunlinnotch.lab.checker import BoxStop, FaultWindow, Guarantee, Observations
-from dunlinnotch.lab.checker import find_violations as judge_day
+from dunlinnotch.lab.checker import BoxStop, FaultWindow, Guarantee, Observations, find_violations
 from dunlinnotch.lab.fleet import Target
 from dunlinnotch.lab.scenario import Bounds, FaultKind, KindPlan, Scenario, ServicePlan
 from dunlinnotch.standins.users.caller import AttemptOutcome, AttemptRecord
 from dunlinnotch.standins.users.worker import Arrival, Ran
 
-DAY = Scenario(
+SCENARIO = Scenario(
     boxes=2,
     services=(ServicePlan(name="records", targets=1), ServicePlan(name="uploads", targets=1)),
     kinds=(
@@ -25,24 +24,24 @@
 BOX = "127.0.0.1:1"
 
 
-def target(name="t1", service="records", *, leaving_at=None, probes=0):
+def make_target(name="t1", service="records", *, leaving_at=None, probes=0):
     worker = SimpleNamespace(instance=name, ran=[], arrivals=[], probes=probes)
     return Target(worker, None, service, "hall-a", leaving_at=leaving_at)
 
 
-def run_at(where, request_id, *, kind="lookup", arrived=10.0, path=None, method=None):
+def add_run(target, request_id, *, kind="lookup", arrived=10.0, path=None, method=None):
     method = method or ("GET" if kind == "lookup" else "POST")
     run = Ran(request_id, method, path or f"/{kind}/1", b"", 1000, arrived=arrived)
-    where.worker.ran.append(run)
+    target.worker.ran.append(run)
 
 
-def arrive_at(where, request_id, at=10.0, *, rest=0.0, leaving=False, given=0.0):
-    """Have a request reach a target, which turns it away if it asks for rest."""
+def add_arrival(target, request_id, at=10.0, *, rest=0.0, leaving=False, given=0.0):
+    """Record a request at a target, refused if the target requests back-off."""
     arrival = Arrival(request_id, at, at, given, rest > 0, rest, leaving)
-    where.worker.arrivals.append(arrival)
+    target.worker.arrivals.append(arrival)
 
 
-def attempt(request_id="a1", *, kind="lookup", request=1, sent=10.0, took=0.1, **seen):
+def make_attempt(request_id="a1", *, kind="lookup", request=1, sent=10.0, took=0.1, **fields):
     method = "GET" if kind == "lookup" else "POST"
     record = AttemptRecord(request, request_id, kind, BOX, method, f"/{kind}/1", sent)
     record.ended = sent + took
@@ -52,26 +51,48 @@
     record.sealed = True
     record.named = request_id
     record.body = f"t1 ran {request_id}".encode()
-    for name, value in seen.items():
+    for name, value in fields.items():
         setattr(record, name, value)
     return record
 
 
-def judge(attempts, targets, *, windows=(), moves=None, ended=30.0, deadly=(), left=(), stops=()):
-    moves = moves or {}
-    evidence = Observations(DAY, 0.0, ended, attempts, targets, windows, moves, deadly, left, stops)
-    return [finding.guarantee for finding in judge_day(evidence)]
-
-
-def test_a_day_without_fault_has_no_findings():
-    one = target()
-    run_at(one, "a1")
-    run_at(one, "a2", kind="payment")
-    assert judge([attempt("a1"), attempt("a2", kind="payment")], [one]) == []
+def check(
+    attempts,
+    targets,
+    *,
+    windows=(),
+    route_changes=None,
+    ended_at=30.0,
+    crashing=(),
+    abandoned=(),
+    stops=(),
+):
+    """Return the guarantees that the checker finds violated."""
+    route_changes = route_changes or {}
+    observations = Observations(
+        SCENARIO,
+        0.0,
+        ended_at,
+        attempts,
+        targets,
+        windows,
+        route_changes,
+        crashing,
+        abandoned,
+        stops,
+    )
+    return [violation.guarantee for violation in find_violations(observations)]
+
+
+def test_a_scenario_without_faults_has_no_violations():
+    target = make_target()
+    add_run(target, "a1")
+    add_run(target, "a2", kind="payment")
+    assert check([make_attempt("a1"), make_attempt("a2", kind="payment")], [target]) == []
 
 
 @pytest.mark.parametrize(
-    "seen",
+    "fields",
     [
         {"body": b"t1 ran a2"},
         {"body": b"t1 ran a"},
@@ -79,56 +100,56 @@
         {"body": b"t9 ran a1"},
     ],
 )
-def test_an_answer_that_is_not_the_whole_own_one(seen):
-    one = target()
-    run_at(one, "a1")
-    assert judge([attempt("a1", **seen)], [one]) == [Guarantee.COMPLETE]
+def test_an_incomplete_or_wrong_answer_is_a_violation(fields):
+    target = make_target()
+    add_run(target, "a1")
+    assert check([make_attempt("a1", **fields)], [target]) == [Guarantee.COMPLETE]
 
 
-def test_an_answer_with_another_s_name():
-    one = target()
-    run_at(one, "a1")
-    assert judge([attempt("a1", named="a2", status=500)], [one]) == [Guarantee.COMPLETE]
+def test_the_answer_to_another_request_is_a_violation():
+    target = make_target()
+    add_run(target, "a1")
+    assert check([make_attempt("a1", named="a2", status=500)], [target]) == [Guarantee.COMPLETE]
 
 
 @pytest.mark.parametrize("status", [408, 421, 429, 503])
-def test_refused_as_not_run_yet_it_ran(status):
-    one = target()
-    run_at(one, "a1", kind="payment")
-    refused = attempt("a1", kind="payment", status=status)
-    assert judge([refused], [one]) == [Guarantee.NOT_RUN]
-    run_at(one, "a2")
-    lookup = attempt("a2", status=status)
-    assert judge([lookup], [one]) == [Guarantee.AS_SENT], "a1 was sent by nobody here"
+def test_a_request_refused_as_not_run_must_not_have_run(status):
+    target = make_target()
+    add_run(target, "a1", kind="payment")
+    refused = make_attempt("a1", kind="payment", status=status)
+    assert check([refused], [target]) == [Guarantee.NOT_RUN]
+    add_run(target, "a2")
+    lookup = make_attempt("a2", status=status)
+    assert check([lookup], [target]) == [Guarantee.AS_SENT], "no caller sent a1 here"
 
 
-def test_what_may_not_be_repeated_ran_twice():
-    one, two = target(), target("t2")
-    for where in (one, two):
-        run_at(where, "a1", kind="payment")
-        run_at(where, "a2")
-    attempts = [attempt("a1", kind="payment"), attempt("a2")]
-    assert judge(attempts, [one, two]) == [Guarantee.AT_MOST_ONCE]
+def test_a_request_that_must_not_be_repeated_runs_once():
+    target, other = make_target(), make_target("t2")
+    for runner in (target, other):
+        add_run(runner, "a1", kind="payment")
+        add_run(runner, "a2")
+    attempts = [make_attempt("a1", kind="payment"), make_attempt("a2")]
+    assert check(attempts, [target, other]) == [Guarantee.AT_MOST_ONCE]
 
 
 @pytest.mark.parametrize(
-    "ran",
+    "run_fields",
     [{"path": "/lookup/2"}, {"method": "POST"}],
 )
-def test_what_ran_is_not_what_was_sent(ran):
-    one = target()
-    run_at(one, "a1", **ran)
-    assert judge([attempt("a1")], [one]) == [Guarantee.AS_SENT]
+def test_a_request_must_run_as_it_was_sent(run_fields):
+    target = make_target()
+    add_run(target, "a1", **run_fields)
+    assert check([make_attempt("a1")], [target]) == [Guarantee.AS_SENT]
 
 
-def test_a_request_that_nobody_sent():
-    one = target()
-    run_at(one, "a9")
-    assert judge([], [one]) == [Guarantee.AS_SENT]
+def test_a_request_that_no_caller_sent_is_a_violation():
+    target = make_target()
+    add_run(target, "a9")
+    assert check([], [target]) == [Guarantee.AS_SENT]
 
 
 @pytest.mark.parametrize(
-    ("arrived", "windows", "found"),
+    ("arrived", "windows", "expected"),
     [
         (12.0, [], []),
         (12.5, [], [Guarantee.DRAIN]),
@@ -137,14 +158,14 @@
         (12.5, [FaultWindow(FaultKind.BOX_KILL, 2.0, 6.5)], [Guarantee.DRAIN]),
     ],
 )
-def test_a_leaving_target_got_a_request(arrived, windows, found):
-    one = target(leaving_at=10.0)
-    run_at(one, "a1", arrived=arrived)
-    assert judge([attempt("a1", sent=arrived)], [one], windows=windows) == found
+def test_a_leaving_target_receives_no_request_after_the_drain_limit(arrived, windows, expected):
+    target = make_target(leaving_at=10.0)
+    add_run(target, "a1", arrived=arrived)
+    assert check([make_attempt("a1", sent=arrived)], [target], windows=windows) == expected
 
 
 @pytest.mark.parametrize(
-    ("sent", "service", "windows", "found"),
+    ("sent", "service", "windows", "expected"),
     [
         (11.0, "records", [], []),
         (13.0, "records", [], [Guarantee.SETTINGS]),
@@ -153,61 +174,61 @@
         (9.0, "uploads", [], [Guarantee.SETTINGS]),
     ],
 )
-def test_a_request_that_ran_by_old_settings(sent, service, windows, found):
-    one = target(service=service)
-    run_at(one, "a1", arrived=sent)
-    moves = {"lookup": [(0.0, "records"), (10.0, "uploads")]}
-    seen = [attempt("a1", sent=sent)]
-    assert judge(seen, [one], windows=windows, moves=moves) == found
+def test_a_request_must_run_by_active_settings(sent, service, windows, expected):
+    target = make_target(service=service)
+    add_run(target, "a1", arrived=sent)
+    route_changes = {"lookup": [(0.0, "records"), (10.0, "uploads")]}
+    attempts = [make_attempt("a1", sent=sent)]
+    assert check(attempts, [target], windows=windows, route_changes=route_changes) == expected
 
 
 @pytest.mark.parametrize(
-    ("windows", "found"),
+    ("windows", "expected"),
     [
         ([FaultWindow(FaultKind.BOX_STOP, 8.0, 12.0)], [Guarantee.PLANNED_STOP]),
         ([FaultWindow(FaultKind.BOX_KILL, 8.0, 9.0)], []),
     ],
 )
-def test_a_request_cut_off_by_a_planned_stop(windows, found):
-    one = target()
-    run_at(one, "a1")
-    cut = attempt("a1", outcome=AttemptOutcome.CUT, status=0)
-    assert judge([cut], [one], windows=windows) == found
-    unread = attempt("a2", outcome=AttemptOutcome.CUT, status=0, took=0.1)
-    assert judge([unread], [], windows=windows) == []
-    read = attempt("a3", outcome=AttemptOutcome.CUT, status=0, took=0.4)
-    assert judge([read], [], windows=windows) == found
+def test_a_planned_stop_must_not_break_a_request_that_was_read(windows, expected):
+    target = make_target()
+    add_run(target, "a1")
+    cut = make_attempt("a1", outcome=AttemptOutcome.CUT, status=0)
+    assert check([cut], [target], windows=windows) == expected
+    unread = make_attempt("a2", outcome=AttemptOutcome.CUT, status=0, took=0.1)
+    assert check([unread], [], windows=windows) == []
+    read = make_attempt("a3", outcome=AttemptOutcome.CUT, status=0, took=0.4)
+    assert check([read], [], windows=windows) == expected
 
 
-def test_a_request_held_beyond_its_time():
-    one = target()
-    run_at(one, "a1")
-    assert judge([attempt("a1", took=2.6)], [one]) == [Guarantee.IN_TIME]
-    assert judge([attempt("a1", took=2.4)], [one]) == []
+def test_a_request_must_not_be_held_beyond_its_deadline():
+    target = make_target()
+    add_run(target, "a1")
+    assert check([make_attempt("a1", took=2.6)], [target]) == [Guarantee.IN_TIME]
+    assert check([make_attempt("a1", took=2.4)], [target]) == []
 
 
-def test_more_probes_than_the_budget():
-    assert judge([], [target(probes=301)]) == [Guarantee.PROBE_BUDGET]
-    assert judge([], [target(probes=299)]) == []
+def test_probes_must_stay_within_their_budget():
+    assert check([], [make_target(probes=301)]) == [Guarantee.PROBE_BUDGET]
+    assert check([], [make_target(probes=299)]) == []
 
 
-@pytest.mark.parametrize(("served", "found"), [(29, []), (20, [Guarantee.RECOVERY])])
-def test_callers_that_are_not_served_again(served, found):
-    one = target()
+@pytest.mark.parametrize(("served", "expected"), [(29, []), (20, [Guarantee.RECOVERY])])
+def test_callers_must_be_served_again_after_the_last_fault(served, expected):
+    target = make_target()
     attempts = []
     for number in range(30):
         request_id = f"a{number}"
         status = 200 if number < served else 500
-        attempts.append(attempt(request_id, request=number, sent=20.0, status=status))
-        run_at(one, request_id, arrived=20.0)
+        attempts.append(make_attempt(request_id, request=number, sent=20.0, status=status))
+        add_run(target, request_id, arrived=20.0)
     windows = [FaultWindow(FaultKind.BOX_KILL, 8.0, 14.0)]
-    assert judge(attempts, [one], windows=windows) == found
-    later = [FaultWindow(FaultKind.BOX_KILL, 8.0, 16.0)]
-    assert judge(attempts, [one], windows=later) == []
+    assert check(attempts, [target], windows=windows) == expected
+    later_windows = [FaultWindow(FaultKind.BOX_KILL, 8.0, 16.0)]
+    assert check(attempts, [target], windows=later_windows) == []
 
 
 @pytest.mark.parametrize(
-    ("late", "windows", "broken"),
+    ("late_crashes", "windows", "expected"),
     [
         (3, (), []),
         (4, (), [Guarantee.QUARANTINE]),
@@ -215,27 +236,31 @@
         (4, [FaultWindow(FaultKind.STORE_DOWN, 0.0, 30.0)], []),
     ],
 )
-def test_a_request_that_ends_targets_may_end_three_more_once_all_boxes_know(late, windows, broken):
-    # Three end at first, two more before all boxes have to know, the rest later.
-    times = [5.0, 5.1, 5.2, 6.0, 8.0, *(12.0 + n for n in range(late))]
-    ended = [target(f"t{number}") for number in range(len(times))]
-    for number, (one, at) in enumerate(zip(ended, times, strict=True)):
-        run_at(one, f"d{number}", arrived=at)
-    deadly = [attempt(f"d{number}", status=502) for number in range(len(times))]
-    assert judge([], ended, windows=windows, deadly=deadly) == broken
-
-
-def _arrivals(one, times, *, rest=0.0, leaving=False, box=BOX):
-    """Have a target told of first, and so many requests of one box reach it afterwards."""
-    arrive_at(one, "a0", rest=rest, leaving=leaving)
+def test_a_crashing_request_may_crash_three_targets_once_all_boxes_know_it(
+    late_crashes, windows, expected
+):
+    # Three crash at first, two more before all boxes must know, the others later.
+    times = [5.0, 5.1, 5.2, 6.0, 8.0, *(12.0 + n for n in range(late_crashes))]
+    targets = [make_target(f"t{number}") for number in range(len(times))]
+    for number, (target, at) in enumerate(zip(targets, times, strict=True)):
+        add_run(target, f"d{number}", arrived=at)
+    crashing = [make_attempt(f"d{number}", status=502) for number in range(len(times))]
+    assert check([], targets, windows=windows, crashing=crashing) == expected
+
+
+def add_arrivals(target, times, *, rest=0.0, leaving=False, box=BOX):
+    """Record a first refusal or announcement by a target and later requests of one box."""
+    add_arrival(target, "a0", rest=rest, leaving=leaving)
     for number, at in enumerate(times, 1):
-        arrive_at(one, f"a{number}", at)
-    later = (attempt(f"a{n}", sent=at, box=box, status=500) for n, at in enumerate(times, 1))
-    return [attempt("a0", status=500), *later]
+        add_arrival(target, f"a{number}", at)
+    later_attempts = (
+        make_attempt(f"a{n}", sent=at, box=box, status=500) for n, at in enumerate(times, 1)
+    )
+    return [make_attempt("a0", status=500), *later_attempts]
 
 
 @pytest.mark.parametrize(
-    ("times", "box", "windows", "found"),
+    ("times", "box", "windows", "expected"),
     [
         ([11.0, 11.5, 12.0], BOX, [], [Guarantee.BACKOFF]),
         ([11.0, 12.0], BOX, [], []),
@@ -257,14 +282,14 @@
         ),
     ],
 )
-def test_a_target_that_asked_for_rest_got_requests(times, box, windows, found):
-    one = target()
-    seen = _arrivals(one, times, rest=3.0, box=box)
-    assert judge(seen, [one], windows=windows) == found
+def test_a_target_receives_no_requests_during_requested_backoff(times, box, windows, expected):
+    target = make_target()
+    attempts = add_arrivals(target, times, rest=3.0, box=box)
+    assert check(attempts, [target], windows=windows) == expected
 
 
 @pytest.mark.parametrize(
-    ("at", "box", "windows", "found"),
+    ("at", "box", "windows", "expected"),
     [
         (12.2, BOX, [], []),
         (12.5, BOX, [], [Guarantee.DRAIN]),
@@ -273,38 +298,40 @@
         (12.5, BOX, [FaultWindow(FaultKind.BOX_KILL, 11.0, 12.0)], []),
     ],
 )
-def test_a_target_that_said_that_it_leaves_got_a_request(at, box, windows, found):
-    one = target()
-    seen = _arrivals(one, [at], leaving=True, box=box)
-    assert judge(seen, [one], windows=windows) == found
+def test_a_target_that_announced_leaving_in_an_answer_receives_no_request(
+    at, box, windows, expected
+):
+    target = make_target()
+    attempts = add_arrivals(target, [at], leaving=True, box=box)
+    assert check(attempts, [target], windows=windows) == expected
 
 
-@pytest.mark.parametrize(("targets", "found"), [(3, []), (4, [Guarantee.MAX_ATTEMPTS])])
-def test_a_request_that_went_to_more_targets_than_its_kind_allows(targets, found):
-    reached = [target(f"t{n}") for n in range(targets)]
-    for one in reached:
-        arrive_at(one, "a1")
-    assert judge([attempt("a1", status=500)], reached) == found
+@pytest.mark.parametrize(("target_count", "expected"), [(3, []), (4, [Guarantee.MAX_ATTEMPTS])])
+def test_a_request_must_not_reach_more_targets_than_its_kind_allows(target_count, expected):
+    targets = [make_target(f"t{n}") for n in range(target_count)]
+    for target in targets:
+        add_arrival(target, "a1")
+    assert check([make_attempt("a1", status=500)], targets) == expected
 
 
 @pytest.mark.parametrize(
-    ("repeats", "apart", "found"),
+    ("retries", "interval", "expected"),
     [(62, 0.0, []), (63, 0.0, [Guarantee.RETRY_BUDGET]), (63, 0.2, [])],
 )
-def test_more_repeats_than_the_budget(repeats, apart, found):
-    """Ten requests allow two repeats, and sixty beside."""
-    one, two = target(), target("t2")
-    seen = [attempt(f"a{n}", status=500) for n in range(10)]
-    seen += [attempt(f"b{n}", sent=-100.0, status=500) for n in range(repeats)]
-    for number in range(repeats):
-        at = 10.0 + number * apart
-        arrive_at(one, f"b{number}", at - 0.01)
-        arrive_at(two, f"b{number}", at)
-    assert judge(seen, [one, two]) == found
+def test_retries_must_stay_within_their_budget(retries, interval, expected):
+    """Ten requests allow two retries, and the slack allows sixty more."""
+    target, other = make_target(), make_target("t2")
+    attempts = [make_attempt(f"a{n}", status=500) for n in range(10)]
+    attempts += [make_attempt(f"b{n}", sent=-100.0, status=500) for n in range(retries)]
+    for number in range(retries):
+        at = 10.0 + number * interval
+        add_arrival(target, f"b{number}", at - 0.01)
+        add_arrival(other, f"b{number}", at)
+    assert check(attempts, [target, other]) == expected
 
 
 @pytest.mark.parametrize(
-    ("given", "repeated", "windows", "found"),
+    ("given", "retry", "windows", "expected"),
     [
         (2.0, None, [], []),
         (2.4, None, [], []),
@@ -317,17 +344,17 @@
         (2.3, (11.0, 1.7), [], []),
     ],
 )
-def test_a_target_that_was_given_more_time_than_its_caller_has(given, repeated, windows, found):
-    """Its caller states 2 s and waits until 12.0."""
-    one, two = target(), target("t2")
-    arrive_at(one, "a1", given=given)
-    if repeated is not None:
-        arrive_at(two, "a1", repeated[0], given=repeated[1])
-    assert judge([attempt("a1", status=500)], [one, two], windows=windows) == found
+def test_a_target_must_not_be_given_more_time_than_its_caller_has(given, retry, windows, expected):
+    """The caller allows 2 s and waits until 12.0."""
+    target, other = make_target(), make_target("t2")
+    add_arrival(target, "a1", given=given)
+    if retry is not None:
+        add_arrival(other, "a1", retry[0], given=retry[1])
+    assert check([make_attempt("a1", status=500)], [target, other], windows=windows) == expected
 
 
 @pytest.mark.parametrize(
-    ("ends", "windows", "found"),
+    ("ends", "windows", "expected"),
     [
         ([10.7, 10.7, 10.7, 10.7], [], []),
         ([12.0, 10.7, 10.7, 10.7], [], []),
@@ -338,35 +365,37 @@
         ([12.0] * 4, [FaultWindow(FaultKind.CALLER_LEAVES, 8.0, 11.0)], [Guarantee.CALLER_GONE]),
     ],
 )
-def test_work_that_goes_on_after_its_caller_has_left(ends, windows, found):
-    """The callers leave at 10.3; the work lasts until 12.0."""
-    one = target()
-    for number, ended in enumerate(ends):
-        run_at(one, f"c{number}")
-        one.worker.ran[-1].ended = ended
-    left = [attempt(f"c{n}", took=0.3, outcome=AttemptOutcome.LEFT) for n in range(len(ends))]
-    assert judge([], [one], windows=windows, left=left) == found
-
-
-@pytest.mark.parametrize(("late", "found"), [(3, []), (4, [Guarantee.CALLER_GONE])])
-def test_requests_that_are_sent_on_after_their_callers_have_left(late, found):
-    one = target()
+def test_a_request_must_be_cancelled_after_its_caller_disconnects(ends, windows, expected):
+    """The callers disconnect at 10.3; the requests take until 12.0."""
+    target = make_target()
+    for number, end in enumerate(ends):
+        add_run(target, f"c{number}")
+        target.worker.ran[-1].ended = end
+    abandoned = [
+        make_attempt(f"c{n}", took=0.3, outcome=AttemptOutcome.LEFT) for n in range(len(ends))
+    ]
+    assert check([], [target], windows=windows, abandoned=abandoned) == expected
+
+
+@pytest.mark.parametrize(("late", "expected"), [(3, []), (4, [Guarantee.CALLER_GONE])])
+def test_requests_must_not_be_forwarded_after_their_callers_disconnect(late, expected):
+    target = make_target()
     for number in range(late):
-        run_at(one, f"c{number}", arrived=10.9)
-    left = [attempt(f"c{n}", took=0.3, outcome=AttemptOutcome.LEFT) for n in range(late)]
-    assert judge([], [one], left=left) == found
+        add_run(target, f"c{number}", arrived=10.9)
+    abandoned = [make_attempt(f"c{n}", took=0.3, outcome=AttemptOutcome.LEFT) for n in range(late)]
+    assert check([], [target], abandoned=abandoned) == expected
 
 
 @pytest.mark.parametrize(
-    ("status", "found"),
+    ("status", "expected"),
     [(404, [Guarantee.NOT_REJECTED]), (307, [Guarantee.NOT_REJECTED]), (429, []), (502, [])],
 )
-def test_a_proper_request_that_is_turned_down(status, found):
-    assert judge([attempt("a1", status=status)], []) == found
+def test_a_valid_request_must_not_be_rejected(status, expected):
+    assert check([make_attempt("a1", status=status)], []) == expected
 
 
 @pytest.mark.parametrize(
-    ("not_ready", "windows", "found"),
+    ("not_ready", "windows", "expected"),
     [
         (13.9, (), []),
         (14.5, (), [Guarantee.NOT_READY]),
@@ -375,16 +404,18 @@
         (14.5, (FaultWindow(FaultKind.STORE_DOWN, 12.0, 13.0),), [Guarantee.NOT_READY]),
     ],
 )
-def test_a_box_that_is_asked_to_stop_is_not_ready_in_time(not_ready, windows, found):
-    assert judge([], [], windows=windows, stops=[BoxStop("box-1", 10.0, not_ready)]) == found
+def test_a_box_that_is_told_to_stop_must_report_not_ready_in_time(not_ready, windows, expected):
+    assert check([], [], windows=windows, stops=[BoxStop("box-1", 10.0, not_ready)]) == expected
 
 
-def test_a_day_that_ends_before_a_stopping_box_must_say_so_judges_nothing():
-    assert judge([], [], ended=12.0, stops=[BoxStop("box-1", 10.0)]) == []
+def test_readiness_is_not_checked_if_traffic_ends_before_the_limit():
+    assert check([], [], ended_at=12.0, stops=[BoxStop("box-1", 10.0)]) == []
 
 
-def test_a_request_run_by_older_settings_is_found_though_they_come_back_later():
-    one = target()
-    run_at(one, "a1", arrived=15.0)
-    moves = {"lookup": [(0.0, "records"), (10.0, "uploads"), (20.0, "records")]}
-    assert judge([attempt("a1", sent=15.0)], [one], moves=moves) == [Guarantee.SETTINGS]
+def test_old_settings_are_a_violation_even_if_they_become_active_again_later():
+    target = make_target()
+    add_run(target, "a1", arrived=15.0)
+    route_changes = {"lookup": [(0.0, "records"), (10.0, "uploads"), (20.0, "records")]}
+    assert check([make_attempt("a1", sent=15.0)], [target], route_changes=route_changes) == [
+        Guarantee.SETTINGS
+    ]
