--- a/dunlinnotch/lab/link.py
+++ b/dunlinnotch/lab/link.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that stands on a link and does to it what networks do."""
+"""A loopback TCP proxy that simulates network faults on a link."""
 
 from __future__ import annotations
 
@@ -10,26 +10,32 @@
 if TYPE_CHECKING:
     from dunlinnotch.types import Address
 
-_CHUNK = 64 * 1024
+_CHUNK_BYTES = 64 * 1024
 
 
 class LinkState(StrEnum):
-    """What a link does."""
+    """How a link treats its connections."""
 
     PASS = "pass"
-    #: What is sent is kept back; nothing is said.
+    #: Connections stay open, and bytes are held back until the link passes them again.
     SILENT = "silent"
-    #: Connections are reset, new ones too.
+    #: Open and new connections are reset.
     RESET = "reset"
 
 
 class FaultyLink:
-    """Pass bytes on between whoever connects and one address.
+    """Forward bytes between clients and one address, with faults on demand.
 
     Parameters
     ----------
     target : str
-        Address that is reached through this link.
+        Address to which connections are forwarded.
+
+    Attributes
+    ----------
+    address : str
+        Address that the link listens on; empty until it is started.
+    state : LinkState
     """
 
     def __init__(self, target: Address) -> None:
@@ -37,38 +43,38 @@
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._passing = asyncio.Event()
-        self._passing.set()
+        self._forwarding = asyncio.Event()
+        self._forwarding.set()
         self.state = LinkState.PASS
         self.address = ""
 
     async def start(self) -> Address:
-        """Begin to listen on a free port; return the address."""
+        """Listen on a free loopback port and return the address."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         self.address = f"127.0.0.1:{self._server.sockets[0].getsockname()[1]}"
         return self.address
 
     async def close(self) -> None:
-        """End all connections and listen no more."""
+        """Stop listening and abort all connections."""
         if self._server is not None:
             self._server.close()
-        self._reset()
+        self._abort_connections()
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def set_state(self, state: LinkState) -> None:
-        """Change what the link does from now on."""
+        """Change how the link treats its open and new connections."""
         self.state = state
         if state is LinkState.RESET:
-            self._reset()
+            self._abort_connections()
         if state is LinkState.SILENT:
-            self._passing.clear()
+            self._forwarding.clear()
         else:
-            self._passing.set()
+            self._forwarding.set()
 
-    def _reset(self) -> None:
+    def _abort_connections(self) -> None:
         for writer in list(self._writers):
             writer.transport.abort()
 
@@ -81,40 +87,40 @@
             if self.state is LinkState.RESET:
                 writer.transport.abort()
             else:
-                await self._join(reader, writer)
+                await self._forward(reader, writer)
         except (OSError, asyncio.CancelledError):
-            # An end that broke is what the other end sees too.
+            # A broken connection on one side must appear as broken on the other.
             writer.transport.abort()
         finally:
             self._tasks.discard(task)
             self._writers.discard(writer)
             writer.close()
 
-    async def _join(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        await self._passing.wait()
+    async def _forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        await self._forwarding.wait()
         host, _, port = self._target.rpartition(":")
-        far_reader, far_writer = await asyncio.open_connection(host, int(port))
-        self._writers.add(far_writer)
-        pumps = {
-            asyncio.ensure_future(self._pump(reader, far_writer)),
-            asyncio.ensure_future(self._pump(far_reader, writer)),
+        target_reader, target_writer = await asyncio.open_connection(host, int(port))
+        self._writers.add(target_writer)
+        copies = {
+            asyncio.ensure_future(self._copy(reader, target_writer)),
+            asyncio.ensure_future(self._copy(target_reader, writer)),
         }
         try:
-            # One end may close its half and still be answered; an error ends both.
-            await asyncio.wait(pumps, return_when=asyncio.FIRST_EXCEPTION)
+            # A half-closed connection may still receive its answer; an error closes both.
+            await asyncio.wait(copies, return_when=asyncio.FIRST_EXCEPTION)
         finally:
-            for pump in pumps:
-                pump.cancel()
-            await asyncio.gather(*pumps, return_exceptions=True)
-            self._writers.discard(far_writer)
+            for copy in copies:
+                copy.cancel()
+            await asyncio.gather(*copies, return_exceptions=True)
+            self._writers.discard(target_writer)
             with contextlib.suppress(OSError):
-                far_writer.close()
+                target_writer.close()
 
-    async def _pump(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        while data := await reader.read(_CHUNK):
-            await self._passing.wait()
+    async def _copy(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        while data := await reader.read(_CHUNK_BYTES):
+            await self._forwarding.wait()
             writer.write(data)
             await writer.drain()
-        await self._passing.wait()
+        await self._forwarding.wait()
         if writer.can_write_eof() and not writer.is_closing():
             writer.write_eof()
