--- a/dunlinnotch/lab/checker/settings.py
+++ b/dunlinnotch/lab/checker/settings.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from dunlinnotch.lab.checker.common import TIMER_TOLERANCE_S, Guarantee, Violation
-from dunlinnotch.lab.fleet import prefix_of
+from dunlinnotch.lab.fleet import path_prefix
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -19,7 +19,7 @@
 def check(index: ObservationIndex) -> Iterator[Violation]:
     """Yield runs of requests at services that no active settings routed them to."""
     for kind, route_changes in index.observations.route_changes.items():
-        prefix = prefix_of(index.kinds_by_name[kind])
+        prefix = path_prefix(index.kinds_by_name[kind])
         for target in index.observations.targets:
             for run in target.worker.ran:
                 if run.path.startswith(prefix):
--- a/dunlinnotch/lab/checker/work.py
+++ b/dunlinnotch/lab/checker/work.py
@@ -11,7 +11,7 @@
     Guarantee,
     Violation,
 )
-from dunlinnotch.lab.fleet import LONG_S
+from dunlinnotch.lab.fleet import LONG_WORK_S
 from dunlinnotch.standins.users.caller import AttemptOutcome
 
 if TYPE_CHECKING:
@@ -158,7 +158,7 @@
             continue
         for _, run in index.runs_by_id[attempt.id]:
             late_runs += run.arrived > limit
-            is_long = run.arrived <= limit < run.arrived + LONG_S
+            is_long = run.arrived <= limit < run.arrived + LONG_WORK_S
             long_runs += is_long
             working_runs += is_long and not 0 < run.ended <= limit
     if late_runs > _MAX_LATE_RUNS:
--- a/dunlinnotch/lab/faults.py
+++ b/dunlinnotch/lab/faults.py
@@ -9,7 +9,7 @@
 from typing import TYPE_CHECKING, TypeVar
 
 from dunlinnotch.lab.checker import BoxStop, FaultWindow
-from dunlinnotch.lab.fleet import DEADLY, HOST, LONG, prefix_of
+from dunlinnotch.lab.fleet import CRASH_SEGMENT, HOST, LONG_WORK_SEGMENT, path_prefix
 from dunlinnotch.lab.link import LinkState
 from dunlinnotch.lab.scenario import FaultKind
 from dunlinnotch.standins.users.caller import CallerRequestPlan, CallerStandin
@@ -65,7 +65,7 @@
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
-        self._rng = random.Random(fleet.day.seed + 1)
+        self._rng = random.Random(fleet.scenario.seed + 1)
         self._loop = asyncio.get_running_loop()
         self.windows: list[FaultWindow] = []
         self.load = 1.0
@@ -112,7 +112,7 @@
         self.windows[place] = FaultWindow(plan.kind, began, self._loop.time())
 
     def _some_targets(self, plan: FaultPlan) -> list[Target]:
-        ready = [t for t in self._fleet.targets if not t.ending]
+        ready = [t for t in self._fleet.targets if not t.terminating]
         return _some(ready, plan.share, self._rng)
 
     def _some_boxes(self, plan: FaultPlan) -> list[BoxProcess]:
@@ -137,14 +137,14 @@
     async def _crash_targets(self, plan: FaultPlan) -> None:
         targets = self._some_targets(plan)
         for target in targets:
-            target.ending = True
+            target.terminating = True
             target.link.set_state(LinkState.RESET)
         await asyncio.sleep(_UNLISTED_S)
         for target in targets:
             await self._fleet.end_target(target)
         await asyncio.sleep(max(0.0, plan.for_s - _UNLISTED_S))
         for target in targets:
-            service = next(s for s in self._fleet.day.services if s.name == target.service)
+            service = next(s for s in self._fleet.scenario.services if s.name == target.service)
             await self._fleet.add_target(service, target.place)
 
     async def _cut_targets(self, plan: FaultPlan) -> None:
@@ -194,18 +194,20 @@
 
     async def _release(self, plan: FaultPlan) -> None:
         quiet = plan.kind is FaultKind.TARGET_LEAVES
-        announce = self._fleet.vanish if quiet else self._fleet.announce_leaving
+        announce = self._fleet.leave_silently if quiet else self._fleet.announce_leaving
         for target in self._some_targets(plan):
-            if not target.ending:
+            if not target.terminating:
                 await self._fleet.release(target, announce=announce)
 
     async def _send_deadly(self, plan: FaultPlan) -> None:
         # Its caller does not wait as told.
-        path = DEADLY + "?draw={}"
+        path = CRASH_SEGMENT + "?draw={}"
         await self._send_alone(plan, path, self.deadly_attempts)
 
     async def _leave_early(self, plan: FaultPlan) -> None:
-        await self._send_alone(plan, "{}/" + LONG, self.left_attempts, leaves_after=_LEAVES_S)
+        await self._send_alone(
+            plan, "{}/" + LONG_WORK_SEGMENT, self.left_attempts, leaves_after=_LEAVES_S
+        )
 
     async def _send_alone(
         self,
@@ -216,11 +218,11 @@
         leaves_after: Seconds | None = None,
     ) -> None:
         """Have one caller send ``x`` requests a second, each once; ``path`` has a gap to fill."""
-        kind = next((kind for kind in self._fleet.day.kinds if kind.repeatable), None)
+        kind = next((kind for kind in self._fleet.scenario.kinds if kind.repeatable), None)
         if kind is None:
             return
         caller = CallerStandin(
-            self._rng.choice(self._fleet.day.places),
+            self._rng.choice(self._fleet.scenario.places),
             HOST,
             directories=self._fleet.directories,
             next_id=lambda: f"{plan.kind[0]}{len(attempts):03x}{self._rng.getrandbits(32):08x}",
@@ -232,7 +234,7 @@
             request = CallerRequestPlan(
                 kind=kind.name,
                 method="GET",
-                path=prefix_of(kind) + path.format(self._rng.randrange(40)),
+                path=path_prefix(kind) + path.format(self._rng.randrange(40)),
                 body=b"",
                 repeatable=True,
                 deadline=kind.deadline_ms / 1000,
@@ -311,19 +313,19 @@
         store.come_back_from_copy(copied)
         store.faults.fault = StoreFault.NONE
         await asyncio.sleep(self._rng.uniform(0.0, _WRITTEN_AGAIN_S))
-        self._fleet.write_again()
-        self._fleet.drop_silent_rows(after=_UNLISTED_S)
+        self._fleet.rewrite_lost_rows()
+        self._fleet.expire_rows(after=_UNLISTED_S)
 
     # -- settings
 
     async def _move(self, plan: FaultPlan) -> None:
-        movable = [kind for kind in self._fleet.day.kinds if kind.also is not None]
+        movable = [kind for kind in self._fleet.scenario.kinds if kind.also is not None]
         for kind in movable:
             assert kind.also is not None
-            self._fleet.move(kind.name, kind.also)
+            self._fleet.move_kind(kind.name, kind.also)
         await asyncio.sleep(plan.for_s)
         for kind in movable:
-            self._fleet.move(kind.name, kind.service)
+            self._fleet.move_kind(kind.name, kind.service)
 
     async def _storm(self, plan: FaultPlan) -> None:
         for _ in range(_STORM_VERSIONS):
--- a/dunlinnotch/lab/fleet.py
+++ b/dunlinnotch/lab/fleet.py
@@ -1,4 +1,4 @@
-"""What an experiment runs: a store, targets, boxes, and a proxy on each link."""
+"""The processes and servers of an experiment: boxes, targets, the store, and link proxies."""
 
 from __future__ import annotations
 
@@ -22,81 +22,88 @@
     from dunlinnotch.types import Address, Seconds
 
 HOST = "lab.example"
-_SEEDS = 3
-_MS = 1000.0
-#: A target is told of as gone once it has ended; it serves so long after its leaving is
-#: known, beyond the bound of the day, in seconds.
-_SERVES_ON_S = 0.5
-#: Time after which another target takes the place of one that ended under a request, in
-#: seconds.
-_BACK_S = 2.0
-#: Last part of the path of a request that ends the targets that run it.
-DEADLY = "deadly"
-#: Last part of the path of a request of long work, and that work in seconds.
-LONG, LONG_S = "long", 2.0
+_SEED_COUNT = 3
+_MS_PER_S = 1000.0
+#: A leaving target continues to serve for this long after the drain limit of the scenario,
+#: so that the checker can observe late requests.
+_DRAIN_MARGIN_S = 0.5
+#: Delay before a target that crashed is replaced.
+_REPLACEMENT_DELAY_S = 2.0
+#: Last path segment of requests that crash the targets that run them.
+CRASH_SEGMENT = "deadly"
+#: Last path segment of slow requests, and their processing time.
+LONG_WORK_SEGMENT, LONG_WORK_S = "long", 2.0
 
 
 @dataclass(slots=True, eq=False)
 class Target:
-    """One target with the link that all boxes reach it by."""
+    """One target and the link through which all boxes reach it."""
 
     worker: WorkerStandin
     link: FaultyLink
     service: str
     place: str
     sequence: int = 1
-    #: What it says of itself in the store; None once its row is gone.
+    #: Its row in the store; None once it is removed.
     row: dict[str, Any] | None = None
+    #: When it announced that it leaves, in monotonic seconds.
     leaving_at: Seconds | None = None
-    #: Whether it is about to end; it is not chosen for a second end.
-    ending: bool = False
+    #: Whether it is being stopped or has crashed; prevents a second termination.
+    terminating: bool = False
 
 
 class Fleet:
-    """A day's boxes, targets and store; use it as an asynchronous context.
+    """The boxes, targets and store of a scenario; an asynchronous context manager.
 
     Parameters
     ----------
-    day : Day
-    directory : Path
-        For settings files and logs.
+    scenario : Scenario
+    directory : pathlib.Path
+        Receives settings files and logs; must exist.
 
     Attributes
     ----------
-    moved_at : dict of str to list of (float, str)
-        For each kind, when it went to which service.
-    ended : list of Target
-        Targets that have ended.
+    route_changes : dict of str to list of (float, str)
+        For each kind, the times at which it was routed to a service, and the service.
+    service_by_kind : dict of str to str
+        The service that each kind is routed to now.
+    terminated : list of Target
+        Targets that have stopped or crashed.
     """
 
-    def __init__(self, day: Scenario, directory: Path) -> None:
-        self.day = day
-        self.rng = random.Random(day.seed)
-        net = random.SystemRandom()
-        self._net = f"127.{net.randrange(1, 255)}.{net.randrange(255)}"
+    def __init__(self, scenario: Scenario, directory: Path) -> None:
+        self.scenario = scenario
+        self.rng = random.Random(scenario.seed)
+        system_rng = random.SystemRandom()
+        self._network_prefix = f"127.{system_rng.randrange(1, 255)}.{system_rng.randrange(255)}"
         self._directory = directory
         self._loop = asyncio.get_running_loop()
         self.store = StoreStandin()
         self.boxes: list[BoxProcess] = []
         self.store_links: dict[str, FaultyLink] = {}
         self.targets: list[Target] = []
-        self.ended: list[Target] = []
-        self.services: dict[str, str] = {kind.name: kind.service for kind in day.kinds}
-        self.moved_at: dict[str, list[tuple[Seconds, str]]] = {k.name: [] for k in day.kinds}
+        self.terminated: list[Target] = []
+        self.service_by_kind: dict[str, str] = {kind.name: kind.service for kind in scenario.kinds}
+        self.route_changes: dict[str, list[tuple[Seconds, str]]] = {
+            k.name: [] for k in scenario.kinds
+        }
         self._version = 0
         self._document: dict[str, Any] = {}
-        self._watches: set[asyncio.Task[None]] = set()
+        self._background_tasks: set[asyncio.Task[None]] = set()
 
     async def __aenter__(self) -> Fleet:
-        """Start everything and wait until the boxes serve."""
+        """Start the store, the targets and the boxes; wait until the boxes are ready."""
         await self.store.start()
         self.write_settings()
-        for service in self.day.services:
+        for service in self.scenario.services:
             for number in range(service.targets):
-                place = self.day.places[number % len(self.day.places)]
+                place = self.scenario.places[number % len(self.scenario.places)]
                 await self.add_target(service, place)
-        seeds = [f"{self._net}.{n}" for n in range(1, min(_SEEDS, self.day.boxes) + 1)]
-        for number in range(1, self.day.boxes + 1):
+        seeds = [
+            f"{self._network_prefix}.{n}"
+            for n in range(1, min(_SEED_COUNT, self.scenario.boxes) + 1)
+        ]
+        for number in range(1, self.scenario.boxes + 1):
             await self._add_box(number, seeds)
         for box in self.boxes:
             box.start()
@@ -108,115 +115,124 @@
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        """Stop everything that was started here."""
-        for watch in self._watches:
-            watch.cancel()
-        await asyncio.gather(*self._watches, return_exceptions=True)
+        """Stop all boxes, targets and links, and the store."""
+        for task in self._background_tasks:
+            task.cancel()
+        await asyncio.gather(*self._background_tasks, return_exceptions=True)
         for box in self.boxes:
             if box.running:
                 box.send_signal(signal.SIGCONT)
                 box.kill()
-        for target in (*self.targets, *self.ended):
+        for target in (*self.targets, *self.terminated):
             await target.link.close()
             await target.worker.close()
         for link in self.store_links.values():
             await link.close()
         await self.store.close()
 
-    # -- boxes
+    # Boxes
 
     async def _add_box(self, number: int, seeds: list[str]) -> None:
         name = f"box-{number}"
-        place = self.day.places[(number - 1) % len(self.day.places)]
-        box = BoxProcess(name, place, f"{self._net}.{number}", self._directory / f"{name}.log")
+        place = self.scenario.places[(number - 1) % len(self.scenario.places)]
+        box = BoxProcess(
+            name, place, f"{self._network_prefix}.{number}", self._directory / f"{name}.log"
+        )
         link = FaultyLink(self.store.address)
         box.write_settings(
             await link.start(),
             seeds,
             **{
-                "terms.bounds.grace": f"{self.day.bounds.grace:g}s",
-                "terms.bounds.probes-per-s": f"{self.day.bounds.probes_per_s:g}",
-                "terms.bounds.budget-ratio": f"{self.day.bounds.repeat_ratio:g}",
-                "terms.bounds.budget-slack": f"{self.day.bounds.repeat_slack:g}",
-                "terms.bounds.budget-window": f"{self.day.bounds.repeat_window:g}s",
+                "terms.bounds.grace": f"{self.scenario.bounds.grace:g}s",
+                "terms.bounds.probes-per-s": f"{self.scenario.bounds.probes_per_s:g}",
+                "terms.bounds.budget-ratio": f"{self.scenario.bounds.repeat_ratio:g}",
+                "terms.bounds.budget-slack": f"{self.scenario.bounds.repeat_slack:g}",
+                "terms.bounds.budget-window": f"{self.scenario.bounds.repeat_window:g}s",
             },
         )
         self.store_links[name] = link
         self.boxes.append(box)
 
     def directories(self, place: str) -> list[Address]:
-        """Return where a caller asks which boxes to use, nearer ones first."""
-        near = [box.directory for box in self.boxes if box.zone == place]
-        far = [box.directory for box in self.boxes if box.zone != place]
-        self.rng.shuffle(near)
-        self.rng.shuffle(far)
-        return near + far
+        """Return the addresses of the boxes' directory service, those in ``place`` first."""
+        same_place = [box.directory for box in self.boxes if box.zone == place]
+        other_places = [box.directory for box in self.boxes if box.zone != place]
+        self.rng.shuffle(same_place)
+        self.rng.shuffle(other_places)
+        return same_place + other_places
 
-    # -- targets
+    # Targets
 
     async def add_target(self, service: ServicePlan, place: str) -> Target:
-        """Start a target and have it listed."""
+        """Start a target and write its row to the store."""
         settings = WorkerSettings(
             slots=service.slots,
             queue=service.queue,
             hangs_when_full=service.hangs,
-            work_of=self._work_of,
-            ends_under=is_deadly,
+            work_of=self._work_time,
+            ends_under=crashes_target,
         )
         worker = WorkerStandin(settings)
         await worker.start()
         target = Target(worker, FaultyLink(worker.address), service.name, place)
         await target.link.start()
         self.targets.append(target)
-        self._list(target, "ready")
-        self._watches.add(asyncio.create_task(self._watch(target, service)))
+        self._write_row(target, "ready")
+        self._background_tasks.add(asyncio.create_task(self._replace_crashed(target, service)))
         return target
 
-    async def _watch(self, target: Target, service: ServicePlan) -> None:
-        """Replace a target that ends under a request."""
+    async def _replace_crashed(self, target: Target, service: ServicePlan) -> None:
+        """Replace a target once it has crashed while running a request."""
         await target.worker.ended.wait()
-        if target.ending:
+        if target.terminating:
             return
-        target.ending = True
+        target.terminating = True
         await target.link.close()
-        await asyncio.sleep(_BACK_S)
+        await asyncio.sleep(_REPLACEMENT_DELAY_S)
         await self.end_target(target)
         await self.add_target(service, target.place)
 
     def announce_leaving(self, target: Target) -> None:
-        """Have a target say that it leaves."""
+        """Announce in a target's row and in its answers that it leaves."""
         target.sequence += 1
         target.leaving_at = self._loop.time()
         target.worker.settings.leaving = True
-        self._list(target, "draining")
+        self._write_row(target, "draining")
 
-    def vanish(self, target: Target) -> None:
-        """Have a target's row go; the target itself says that it leaves, and serves on."""
+    def leave_silently(self, target: Target) -> None:
+        """Remove a target's row; the target announces in its answers that it leaves."""
         target.leaving_at = self._loop.time()
         target.worker.settings.leaving = True
-        self._unlist(target)
+        self._remove_row(target)
 
     async def end_target(self, target: Target) -> None:
-        """End a target; what it ran is kept for the referee."""
+        """Terminate a target; the requests it ran are kept for the checker."""
         self.targets.remove(target)
-        self.ended.append(target)
-        self._unlist(target)
+        self.terminated.append(target)
+        self._remove_row(target)
         await target.link.close()
         await target.worker.close()
 
     async def release(self, target: Target, *, announce: Callable[[Target], None]) -> None:
-        """Have a target leave as planned, and another take its place."""
-        target.ending = True
-        plan = next(s for s in self.day.services if s.name == target.service)
-        await self.add_target(plan, target.place)
+        """Replace a target as in a planned release.
+
+        Parameters
+        ----------
+        target : Target
+        announce : callable
+            Announces that the target leaves.
+        """
+        target.terminating = True
+        service_plan = next(s for s in self.scenario.services if s.name == target.service)
+        await self.add_target(service_plan, target.place)
         announce(target)
-        await asyncio.sleep(self.day.bounds.drain + _SERVES_ON_S)
+        await asyncio.sleep(self.scenario.bounds.drain + _DRAIN_MARGIN_S)
         while target.worker.busy:
-            await asyncio.sleep(_SERVES_ON_S / 10)
+            await asyncio.sleep(_DRAIN_MARGIN_S / 10)
         await self.end_target(target)
 
-    def write_again(self) -> None:
-        """Have operator and targets write what the store does not hold as they wrote it."""
+    def rewrite_lost_rows(self) -> None:
+        """Write the operator document and target rows again where the store differs from them."""
         if self.store.value("op", "config") != self._document:
             self.store.put("op", "config", self._document)
         for target in self.targets:
@@ -224,21 +240,23 @@
             if target.row is not None and self.store.value("servers", instance) != target.row:
                 self.store.put("servers", instance, target.row)
 
-    def drop_silent_rows(self, *, after: Seconds) -> None:
-        """Remove, after some time, the rows of targets that no longer write any."""
-        self._watches.add(asyncio.create_task(self._drop_silent_rows(after)))
+    def expire_rows(self, *, after: Seconds) -> None:
+        """Remove the rows of terminated targets after a delay, in the background."""
+        self._background_tasks.add(asyncio.create_task(self._expire_rows(after)))
 
-    async def _drop_silent_rows(self, after: Seconds) -> None:
+    async def _expire_rows(self, after: Seconds) -> None:
         await asyncio.sleep(after)
-        writing = {target.worker.instance for target in self.targets if target.row is not None}
-        for instance in self.store.keys("servers") - writing:
+        live_instances = {
+            target.worker.instance for target in self.targets if target.row is not None
+        }
+        for instance in self.store.keys("servers") - live_instances:
             self.store.remove("servers", instance)
 
-    def _unlist(self, target: Target) -> None:
+    def _remove_row(self, target: Target) -> None:
         target.row = None
         self.store.remove("servers", target.worker.instance)
 
-    def _list(self, target: Target, state: str) -> None:
+    def _write_row(self, target: Target, state: str) -> None:
         target.row = target.worker.row(
             target.service,
             zone=target.place,
@@ -248,54 +266,56 @@
         )
         self.store.put("servers", target.worker.instance, target.row)
 
-    def _work_of(self, path: str) -> float:
-        kind = next((k for k in self.day.kinds if path.startswith(prefix_of(k))), None)
-        if kind is None:
+    def _work_time(self, path: str) -> float:
+        request_kind = next(
+            (k for k in self.scenario.kinds if path.startswith(path_prefix(k))), None
+        )
+        if request_kind is None:
             return 0.0
-        if path.endswith(f"/{LONG}"):
-            return LONG_S
-        return kind.work_ms / _MS * self.rng.uniform(0.7, 1.3)
+        if path.endswith(f"/{LONG_WORK_SEGMENT}"):
+            return LONG_WORK_S
+        return request_kind.work_ms / _MS_PER_S * self.rng.uniform(0.7, 1.3)
 
-    # -- settings
+    # Settings
 
-    def move(self, kind: str, service: str) -> None:
-        """Send a kind to another service from now on."""
-        self.services[kind] = service
+    def move_kind(self, kind: str, service: str) -> None:
+        """Route a request kind to another service."""
+        self.service_by_kind[kind] = service
         self.write_settings()
 
     def write_settings(self) -> None:
-        """Write the next version of the settings."""
+        """Write the next version of the settings to the store."""
         self._version += self.rng.randint(1, 3)
         routes = [
             RoutePlan(
                 kind.name,
-                prefix_of(kind),
-                self.services[kind.name],
+                path_prefix(kind),
+                self.service_by_kind[kind.name],
                 "safe" if kind.repeatable else "unsafe",
                 target_latency_ms=kind.target_latency_ms,
                 timeout_ms=kind.deadline_ms,
                 attempts=kind.attempts,
                 priority=kind.rank,
             )
-            for kind in self.day.kinds
+            for kind in self.scenario.kinds
         ]
-        services = [service.name for service in self.day.services]
+        services = [service.name for service in self.scenario.services]
         self._document = operator_document(
             self._version, host=HOST, routes=routes, services=services
         )
         self.store.put("op", "config", self._document)
         now = self._loop.time()
-        for name, service in self.services.items():
-            moves = self.moved_at[name]
-            if not moves or moves[-1][1] != service:
-                moves.append((now, service))
+        for name, service in self.service_by_kind.items():
+            changes = self.route_changes[name]
+            if not changes or changes[-1][1] != service:
+                changes.append((now, service))
 
 
-def is_deadly(path: str) -> bool:
-    """Return whether a request for a path ends the target that runs it."""
-    return path.partition("?")[0].endswith(f"/{DEADLY}")
+def crashes_target(path: str) -> bool:
+    """Return whether a request for this path crashes the target that runs it."""
+    return path.partition("?")[0].endswith(f"/{CRASH_SEGMENT}")
 
 
-def prefix_of(kind: KindPlan) -> str:
-    """Return the path prefix of a kind."""
+def path_prefix(kind: KindPlan) -> str:
+    """Return the path prefix of the requests of a kind."""
     return f"/{kind.name}/"
--- a/dunlinnotch/lab/run.py
+++ b/dunlinnotch/lab/run.py
@@ -9,7 +9,7 @@
 
 from dunlinnotch.lab.checker import Observations, find_violations
 from dunlinnotch.lab.faults import FaultInjector
-from dunlinnotch.lab.fleet import HOST, Fleet, prefix_of
+from dunlinnotch.lab.fleet import HOST, Fleet, path_prefix
 from dunlinnotch.lab.report import ScenarioResult, summarise
 from dunlinnotch.standins.users.caller import CallerRequestPlan, CallerStandin
 
@@ -43,7 +43,7 @@
     def __init__(self, fleet: Fleet, troubles: FaultInjector) -> None:
         self._fleet = fleet
         self._troubles = troubles
-        self._rng = random.Random(fleet.day.seed + 2)
+        self._rng = random.Random(fleet.scenario.seed + 2)
         self._loop = asyncio.get_running_loop()
         self._numbers = itertools.count(1)
         self._ids = itertools.count(1)
@@ -57,7 +57,7 @@
 
     async def run(self, until: Seconds) -> None:
         """Send the requests of all kinds until a moment; wait for the last answers."""
-        await asyncio.gather(*(self._run_kind(kind, until) for kind in self._fleet.day.kinds))
+        await asyncio.gather(*(self._run_kind(kind, until) for kind in self._fleet.scenario.kinds))
         while self._tasks:
             await asyncio.wait(self._tasks)
         for caller in self._idle:
@@ -84,7 +84,7 @@
         plan = CallerRequestPlan(
             kind=kind.name,
             method="GET" if kind.repeatable else "POST",
-            path=f"{prefix_of(kind)}{number}",
+            path=f"{path_prefix(kind)}{number}",
             body=b"" if kind.repeatable else _BODY,
             repeatable=kind.repeatable,
             deadline=kind.deadline_ms / 1000,
@@ -96,7 +96,7 @@
 
     def _make_caller(self) -> CallerStandin:
         return CallerStandin(
-            self._rng.choice(self._fleet.day.places),
+            self._rng.choice(self._fleet.scenario.places),
             HOST,
             directories=self._fleet.directories,
             next_id=lambda: f"a{next(self._ids):07x}",
@@ -144,9 +144,9 @@
             started_at=began,
             ended_at=ended,
             attempts=callers.attempts,
-            targets=[*fleet.targets, *fleet.ended],
+            targets=[*fleet.targets, *fleet.terminated],
             fault_windows=troubles.windows,
-            route_changes=fleet.moved_at,
+            route_changes=fleet.route_changes,
             crashing=troubles.deadly_attempts,
             abandoned=troubles.left_attempts,
             stops=troubles.stops,
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -38,7 +38,7 @@
 
     async def test():
         boxes = [Box(), Box()]
-        troubles = FaultInjector(SimpleNamespace(day=SimpleNamespace(seed=1), boxes=boxes))
+        troubles = FaultInjector(SimpleNamespace(scenario=SimpleNamespace(seed=1), boxes=boxes))
         plan = FaultPlan(kind=FaultKind.BOX_STOP, at=0.0, share=1.0)
         causing = asyncio.ensure_future(troubles.cause(plan))
         for _ in range(20):
