--- a/dunlinnotch/lab/faults.py
+++ b/dunlinnotch/lab/faults.py
@@ -1,4 +1,4 @@
-"""Cause each trouble of a day at its time, and end it."""
+"""Inject the faults of a scenario at their times, and end them."""
 
 from __future__ import annotations
 
@@ -27,23 +27,21 @@
 
 _T = TypeVar("_T")
 
-_USUAL_SLOWNESS = 100
-#: A listed target disappears after three heartbeats without a word, in seconds.
-_UNLISTED_S = 4.5
-#: Rest that targets ask for, in seconds as they write them; some of it can't be read.
-_RESTS = ("1", "1.5", "3", "4.25", "30", "soon", "-1")
-#: A caller that leaves early closes its connection so long after it sent, in seconds.
-_LEAVES_S = 0.3
-_STORM_VERSIONS, _STORM_GAP_S = 10, 0.1
-#: Time for which a store that comes back from a copy is away, and after which what is lost
-#: begins to be written again, in seconds: at most.
-_AWAY_S, _WRITTEN_AGAIN_S = 1.5, 1.5
-#: Time between two boxes that are asked to stop one after the other, in seconds.
-_STOP_GAP_S = 1.0
+_NORMAL_SLOWNESS_PERCENT = 100
+#: The platform removes the row of a target that has sent no heartbeat for this long.
+_ROW_EXPIRY_S = 4.5
+#: Values of ``Retry-After`` with which targets request back-off; the last two are invalid.
+_BACKOFF_VALUES = ("1", "1.5", "3", "4.25", "30", "soon", "-1")
+_DISCONNECT_AFTER_S = 0.3
+_STORM_VERSION_COUNT, _STORM_INTERVAL_S = 10, 0.1
+#: Longest outage while the store is restored from a backup, and longest delay until lost
+#: rows are written again.
+_MAX_RESTORE_OUTAGE_S, _MAX_REWRITE_DELAY_S = 1.5, 1.5
+_STOP_INTERVAL_S = 1.0
 
 
 class FaultInjector:
-    """The troubles of one day.
+    """Injects the faults of one scenario.
 
     Parameters
     ----------
@@ -51,104 +49,105 @@
 
     Attributes
     ----------
-    windows : list of Window
-        What was wrong when; grows as the day goes on.
-    load : float
-        How many times the usual requests callers send now.
-    deadly_attempts : list of AttemptRecord
-        Attempts of requests that end the targets that run them.
-    left_attempts : list of AttemptRecord
-        Attempts whose callers left amid them.
+    fault_windows : list of FaultWindow
+        The periods of all faults injected so far.
+    load_factor : float
+        Current multiple of the usual request rate.
+    crashing_attempts : list of AttemptRecord
+        Attempts of requests that crash the targets that run them.
+    abandoned_attempts : list of AttemptRecord
+        Attempts whose callers disconnect before the answer.
     stops : list of BoxStop
-        Boxes that were asked to stop.
+        Boxes that were told to stop.
     """
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
         self._rng = random.Random(fleet.scenario.seed + 1)
         self._loop = asyncio.get_running_loop()
-        self.windows: list[FaultWindow] = []
-        self.load = 1.0
-        self.deadly_attempts: list[AttemptRecord] = []
-        self.left_attempts: list[AttemptRecord] = []
+        self.fault_windows: list[FaultWindow] = []
+        self.load_factor = 1.0
+        self.crashing_attempts: list[AttemptRecord] = []
+        self.abandoned_attempts: list[AttemptRecord] = []
         self.stops: list[BoxStop] = []
-        self._how: dict[FaultKind, Callable[[FaultPlan], Coroutine[None, None, None]]] = {
-            FaultKind.BURST: self._burst,
+        self._handlers: dict[FaultKind, Callable[[FaultPlan], Coroutine[None, None, None]]] = {
+            FaultKind.BURST: self._increase_load,
             FaultKind.TARGET_SLOW: self._slow_targets,
             FaultKind.TARGET_CRASH: self._crash_targets,
-            FaultKind.TARGET_SILENT: self._cut_targets,
-            FaultKind.TARGET_RESET: self._cut_targets,
-            FaultKind.ANSWER_LOST: self._spoil_answers,
-            FaultKind.ANSWER_CUT: self._spoil_answers,
-            FaultKind.ANSWER_TWICE: self._spoil_answers,
-            FaultKind.HEALTH_LIES: self._lie,
-            FaultKind.TARGET_REFUSES: self._refuse,
-            FaultKind.TARGET_RESTS: self._refuse,
-            FaultKind.TARGET_LEAVES: self._release,
-            FaultKind.RELEASE: self._release,
-            FaultKind.DEADLY_REQUEST: self._send_deadly,
-            FaultKind.CALLER_LEAVES: self._leave_early,
+            FaultKind.TARGET_SILENT: self._break_target_links,
+            FaultKind.TARGET_RESET: self._break_target_links,
+            FaultKind.ANSWER_LOST: self._corrupt_answers,
+            FaultKind.ANSWER_CUT: self._corrupt_answers,
+            FaultKind.ANSWER_TWICE: self._corrupt_answers,
+            FaultKind.HEALTH_LIES: self._fail_health_checks,
+            FaultKind.TARGET_REFUSES: self._refuse_requests,
+            FaultKind.TARGET_RESTS: self._refuse_requests,
+            FaultKind.TARGET_LEAVES: self._release_targets,
+            FaultKind.RELEASE: self._release_targets,
+            FaultKind.DEADLY_REQUEST: self._send_crashing_requests,
+            FaultKind.CALLER_LEAVES: self._send_abandoned_requests,
             FaultKind.BOX_KILL: self._kill_boxes,
             FaultKind.BOX_FREEZE: self._freeze_boxes,
             FaultKind.BOX_STOP: self._stop_boxes,
-            FaultKind.STORE_DOWN: self._store_down,
-            FaultKind.STORE_SLOW: self._store_slow,
-            FaultKind.STORE_SILENT: self._cut_store,
-            FaultKind.STORE_RESET: self._cut_store,
-            FaultKind.STORE_FORGETS: self._forget,
-            FaultKind.STORE_BACK: self._bring_back,
-            FaultKind.SETTINGS_MOVE: self._move,
-            FaultKind.SETTINGS_STORM: self._storm,
+            FaultKind.STORE_DOWN: self._fail_store,
+            FaultKind.STORE_SLOW: self._slow_store,
+            FaultKind.STORE_SILENT: self._break_store_links,
+            FaultKind.STORE_RESET: self._break_store_links,
+            FaultKind.STORE_FORGETS: self._drop_store_history,
+            FaultKind.STORE_BACK: self._restore_store,
+            FaultKind.SETTINGS_MOVE: self._move_kinds,
+            FaultKind.SETTINGS_STORM: self._write_settings_storm,
         }
 
-    async def cause(self, plan: FaultPlan) -> None:
-        """Wait for a trouble's time, cause it, end it, and note when it was."""
+    async def inject(self, plan: FaultPlan) -> None:
+        """Wait until a fault is due, inject it until it ends, and record its period."""
         await asyncio.sleep(plan.at)
-        began = self._loop.time()
-        # Open until it has ended, so that a day cut short excuses as much as it should.
-        self.windows.append(FaultWindow(plan.kind, began, math.inf))
-        place = len(self.windows) - 1
-        await self._how[plan.kind](plan)
-        self.windows[place] = FaultWindow(plan.kind, began, self._loop.time())
-
-    def _some_targets(self, plan: FaultPlan) -> list[Target]:
-        ready = [t for t in self._fleet.targets if not t.terminating]
-        return _some(ready, plan.share, self._rng)
-
-    def _some_boxes(self, plan: FaultPlan) -> list[BoxProcess]:
+        started_at = self._loop.time()
+        # The period stays open until the fault ends, so that it also excuses violations if the
+        # scenario ends during the fault.
+        self.fault_windows.append(FaultWindow(plan.kind, started_at, math.inf))
+        index = len(self.fault_windows) - 1
+        await self._handlers[plan.kind](plan)
+        self.fault_windows[index] = FaultWindow(plan.kind, started_at, self._loop.time())
+
+    def _sample_targets(self, plan: FaultPlan) -> list[Target]:
+        available = [t for t in self._fleet.targets if not t.terminating]
+        return _sample(available, plan.share, self._rng)
+
+    def _sample_boxes(self, plan: FaultPlan) -> list[BoxProcess]:
         running = [box for box in self._fleet.boxes if box.running]
-        return _some(running, plan.share, self._rng)
+        return _sample(running, plan.share, self._rng)
 
-    async def _burst(self, plan: FaultPlan) -> None:
-        self.load *= plan.x
+    async def _increase_load(self, plan: FaultPlan) -> None:
+        self.load_factor *= plan.x
         await asyncio.sleep(plan.for_s)
-        self.load /= plan.x
+        self.load_factor /= plan.x
 
-    # -- targets
+    # Targets
 
     async def _slow_targets(self, plan: FaultPlan) -> None:
-        targets = self._some_targets(plan)
+        targets = self._sample_targets(plan)
         for target in targets:
-            target.worker.settings.slowness = int(_USUAL_SLOWNESS * plan.x)
+            target.worker.settings.slowness = int(_NORMAL_SLOWNESS_PERCENT * plan.x)
         await asyncio.sleep(plan.for_s)
         for target in targets:
-            target.worker.settings.slowness = _USUAL_SLOWNESS
+            target.worker.settings.slowness = _NORMAL_SLOWNESS_PERCENT
 
     async def _crash_targets(self, plan: FaultPlan) -> None:
-        targets = self._some_targets(plan)
+        targets = self._sample_targets(plan)
         for target in targets:
             target.terminating = True
             target.link.set_state(LinkState.RESET)
-        await asyncio.sleep(_UNLISTED_S)
+        await asyncio.sleep(_ROW_EXPIRY_S)
         for target in targets:
             await self._fleet.end_target(target)
-        await asyncio.sleep(max(0.0, plan.for_s - _UNLISTED_S))
+        await asyncio.sleep(max(0.0, plan.for_s - _ROW_EXPIRY_S))
         for target in targets:
             service = next(s for s in self._fleet.scenario.services if s.name == target.service)
             await self._fleet.add_target(service, target.place)
 
-    async def _cut_targets(self, plan: FaultPlan) -> None:
-        targets = self._some_targets(plan)
+    async def _break_target_links(self, plan: FaultPlan) -> None:
+        targets = self._sample_targets(plan)
         silent = plan.kind is FaultKind.TARGET_SILENT
         for target in targets:
             target.link.set_state(LinkState.SILENT if silent else LinkState.RESET)
@@ -156,60 +155,65 @@
         for target in targets:
             target.link.set_state(LinkState.PASS)
 
-    async def _spoil_answers(self, plan: FaultPlan) -> None:
+    async def _corrupt_answers(self, plan: FaultPlan) -> None:
         fault = {
             FaultKind.ANSWER_LOST: WorkerFault.LOST,
             FaultKind.ANSWER_CUT: WorkerFault.CUT,
             FaultKind.ANSWER_TWICE: WorkerFault.LATE_SURPLUS,
         }[plan.kind]
 
-        def draw() -> WorkerFault:
+        def choose_fault() -> WorkerFault:
             return fault if self._rng.random() < plan.x else WorkerFault.NONE
 
-        targets = self._some_targets(plan)
+        targets = self._sample_targets(plan)
         for target in targets:
-            target.worker.settings.draw_fault = draw
+            target.worker.settings.draw_fault = choose_fault
         await asyncio.sleep(plan.for_s)
         for target in targets:
             target.worker.settings.draw_fault = None
 
-    async def _refuse(self, plan: FaultPlan) -> None:
-        targets = self._some_targets(plan)
-        rests = plan.kind is FaultKind.TARGET_RESTS
+    async def _refuse_requests(self, plan: FaultPlan) -> None:
+        targets = self._sample_targets(plan)
+        request_backoff = plan.kind is FaultKind.TARGET_RESTS
         for target in targets:
             target.worker.settings.turns_away = lambda: self._rng.random() < plan.x
-            target.worker.settings.rest = self._rng.choice(_RESTS) if rests else ""
+            target.worker.settings.rest = (
+                self._rng.choice(_BACKOFF_VALUES) if request_backoff else ""
+            )
         await asyncio.sleep(plan.for_s)
         for target in targets:
             target.worker.settings.turns_away = None
             target.worker.settings.rest = ""
 
-    async def _lie(self, plan: FaultPlan) -> None:
-        targets = self._some_targets(plan)
+    async def _fail_health_checks(self, plan: FaultPlan) -> None:
+        targets = self._sample_targets(plan)
         for target in targets:
             target.worker.settings.healthy = False
         await asyncio.sleep(plan.for_s)
         for target in targets:
             target.worker.settings.healthy = True
 
-    async def _release(self, plan: FaultPlan) -> None:
-        quiet = plan.kind is FaultKind.TARGET_LEAVES
-        announce = self._fleet.leave_silently if quiet else self._fleet.announce_leaving
-        for target in self._some_targets(plan):
+    async def _release_targets(self, plan: FaultPlan) -> None:
+        without_row = plan.kind is FaultKind.TARGET_LEAVES
+        announce = self._fleet.leave_without_row if without_row else self._fleet.announce_leaving
+        for target in self._sample_targets(plan):
             if not target.terminating:
                 await self._fleet.release(target, announce=announce)
 
-    async def _send_deadly(self, plan: FaultPlan) -> None:
-        # Its caller does not wait as told.
+    async def _send_crashing_requests(self, plan: FaultPlan) -> None:
+        # The caller ignores Retry-After.
         path = CRASH_SEGMENT + "?draw={}"
-        await self._send_alone(plan, path, self.deadly_attempts)
-
-    async def _leave_early(self, plan: FaultPlan) -> None:
-        await self._send_alone(
-            plan, "{}/" + LONG_WORK_SEGMENT, self.left_attempts, leaves_after=_LEAVES_S
+        await self._send_from_one_caller(plan, path, self.crashing_attempts)
+
+    async def _send_abandoned_requests(self, plan: FaultPlan) -> None:
+        await self._send_from_one_caller(
+            plan,
+            "{}/" + LONG_WORK_SEGMENT,
+            self.abandoned_attempts,
+            leaves_after=_DISCONNECT_AFTER_S,
         )
 
-    async def _send_alone(
+    async def _send_from_one_caller(
         self,
         plan: FaultPlan,
         path: str,
@@ -217,7 +221,18 @@
         *,
         leaves_after: Seconds | None = None,
     ) -> None:
-        """Have one caller send ``x`` requests a second, each once; ``path`` has a gap to fill."""
+        """Have one caller send ``plan.x`` requests a second, without retries.
+
+        Parameters
+        ----------
+        plan : FaultPlan
+        path : str
+            Format of the path below the prefix of the kind; receives a random number.
+        attempts : list of AttemptRecord
+            Receives the attempts made.
+        leaves_after : float, optional
+            Seconds after which the caller disconnects.
+        """
         kind = next((kind for kind in self._fleet.scenario.kinds if kind.repeatable), None)
         if kind is None:
             return
@@ -244,10 +259,10 @@
             attempts += await caller.request(0, request)
             await asyncio.sleep(1 / plan.x)
 
-    # -- boxes
+    # Boxes
 
     async def _kill_boxes(self, plan: FaultPlan) -> None:
-        boxes = self._some_boxes(plan)
+        boxes = self._sample_boxes(plan)
         for box in boxes:
             box.kill()
         await asyncio.sleep(plan.for_s)
@@ -256,7 +271,7 @@
         await asyncio.gather(*(box.wait_ready() for box in boxes))
 
     async def _freeze_boxes(self, plan: FaultPlan) -> None:
-        boxes = self._some_boxes(plan)
+        boxes = self._sample_boxes(plan)
         for box in boxes:
             box.send_signal(signal.SIGSTOP)
         await asyncio.sleep(plan.for_s)
@@ -266,59 +281,60 @@
     async def _stop_boxes(self, plan: FaultPlan) -> None:
         async def stop(box: BoxProcess) -> None:
             box.send_signal(signal.SIGTERM)
-            noted = BoxStop(box.name, self._loop.time())
-            self.stops.append(noted)
+            box_stop = BoxStop(box.name, self._loop.time())
+            self.stops.append(box_stop)
             await box.wait_not_ready()
-            noted.not_ready_at = self._loop.time()
+            box_stop.not_ready_at = self._loop.time()
             await box.ended()
             box.start()
             await box.wait_ready()
 
-        # A day may end amid this: what still waits for a box to end must not start it again.
+        # If the scenario ends during the stops, the group cancels the tasks that wait for a box
+        # to exit; otherwise they would start it again.
         async with asyncio.TaskGroup() as stops:
-            for box in self._some_boxes(plan):
+            for box in self._sample_boxes(plan):
                 stops.create_task(stop(box))
-                await asyncio.sleep(_STOP_GAP_S)
+                await asyncio.sleep(_STOP_INTERVAL_S)
 
-    # -- the store
+    # Store
 
-    async def _store_down(self, plan: FaultPlan) -> None:
+    async def _fail_store(self, plan: FaultPlan) -> None:
         self._fleet.store.faults.fault = StoreFault.BUSY
         await asyncio.sleep(plan.for_s)
         self._fleet.store.faults.fault = StoreFault.NONE
 
-    async def _store_slow(self, plan: FaultPlan) -> None:
+    async def _slow_store(self, plan: FaultPlan) -> None:
         self._fleet.store.faults.slow_s = plan.x
         await asyncio.sleep(plan.for_s)
         self._fleet.store.faults.slow_s = 0.0
 
-    async def _cut_store(self, plan: FaultPlan) -> None:
+    async def _break_store_links(self, plan: FaultPlan) -> None:
         silent = plan.kind is FaultKind.STORE_SILENT
-        links = [self._fleet.store_links[box.name] for box in self._some_boxes(plan)]
+        links = [self._fleet.store_links[box.name] for box in self._sample_boxes(plan)]
         for link in links:
             link.set_state(LinkState.SILENT if silent else LinkState.RESET)
         await asyncio.sleep(plan.for_s)
         for link in links:
             link.set_state(LinkState.PASS)
 
-    async def _forget(self, plan: FaultPlan) -> None:
+    async def _drop_store_history(self, plan: FaultPlan) -> None:
         self._fleet.store.forget_history()
         await asyncio.sleep(plan.for_s)
 
-    async def _bring_back(self, plan: FaultPlan) -> None:
+    async def _restore_store(self, plan: FaultPlan) -> None:
         store = self._fleet.store
-        copied = store.now - plan.x
+        backup_time = store.now - plan.x
         store.faults.fault = StoreFault.RESET
-        await asyncio.sleep(self._rng.uniform(0.0, _AWAY_S))
-        store.come_back_from_copy(copied)
+        await asyncio.sleep(self._rng.uniform(0.0, _MAX_RESTORE_OUTAGE_S))
+        store.come_back_from_copy(backup_time)
         store.faults.fault = StoreFault.NONE
-        await asyncio.sleep(self._rng.uniform(0.0, _WRITTEN_AGAIN_S))
+        await asyncio.sleep(self._rng.uniform(0.0, _MAX_REWRITE_DELAY_S))
         self._fleet.rewrite_lost_rows()
-        self._fleet.expire_rows(after=_UNLISTED_S)
+        self._fleet.expire_rows(after=_ROW_EXPIRY_S)
 
-    # -- settings
+    # Settings
 
-    async def _move(self, plan: FaultPlan) -> None:
+    async def _move_kinds(self, plan: FaultPlan) -> None:
         movable = [kind for kind in self._fleet.scenario.kinds if kind.also is not None]
         for kind in movable:
             assert kind.also is not None
@@ -327,14 +343,14 @@
         for kind in movable:
             self._fleet.move_kind(kind.name, kind.service)
 
-    async def _storm(self, plan: FaultPlan) -> None:
-        for _ in range(_STORM_VERSIONS):
+    async def _write_settings_storm(self, plan: FaultPlan) -> None:
+        for _ in range(_STORM_VERSION_COUNT):
             self._fleet.write_settings()
-            await asyncio.sleep(_STORM_GAP_S)
+            await asyncio.sleep(_STORM_INTERVAL_S)
 
 
-def _some(items: Sequence[_T], share: float, rng: random.Random) -> list[_T]:
-    """Return a share of the items, at least one, drawn by chance."""
+def _sample(items: Sequence[_T], share: float, rng: random.Random) -> list[_T]:
+    """Return a random share of the items, at least one unless there are none."""
     if not items:
         return []
     return rng.sample(list(items), max(1, round(share * len(items))))
--- a/dunlinnotch/lab/fleet.py
+++ b/dunlinnotch/lab/fleet.py
@@ -199,8 +199,8 @@
         target.worker.settings.leaving = True
         self._write_row(target, "draining")
 
-    def leave_silently(self, target: Target) -> None:
-        """Remove a target's row; the target announces in its answers that it leaves."""
+    def leave_without_row(self, target: Target) -> None:
+        """Remove a target's row; the target announces only in its answers that it leaves."""
         target.leaving_at = self._loop.time()
         target.worker.settings.leaving = True
         self._remove_row(target)
--- a/dunlinnotch/lab/run.py
+++ b/dunlinnotch/lab/run.py
@@ -66,7 +66,7 @@
     async def _run_kind(self, kind: KindPlan, until: Seconds) -> None:
         at = self._loop.time()
         while True:
-            at += self._rng.expovariate(kind.per_s * self._troubles.load)
+            at += self._rng.expovariate(kind.per_s * self._troubles.load_factor)
             if at >= until:
                 return
             await asyncio.sleep(max(0.0, at - self._loop.time()))
@@ -127,7 +127,7 @@
         troubles = FaultInjector(fleet)
         callers = Callers(fleet, troubles)
         began = loop.time()
-        causing = [asyncio.ensure_future(troubles.cause(plan)) for plan in day.troubles]
+        causing = [asyncio.ensure_future(troubles.inject(plan)) for plan in day.troubles]
         telling = asyncio.ensure_future(_tell(callers, began, day, progress))
         try:
             await callers.run(began + day.length_s)
@@ -145,10 +145,10 @@
             ended_at=ended,
             attempts=callers.attempts,
             targets=[*fleet.targets, *fleet.terminated],
-            fault_windows=troubles.windows,
+            fault_windows=troubles.fault_windows,
             route_changes=fleet.route_changes,
-            crashing=troubles.deadly_attempts,
-            abandoned=troubles.left_attempts,
+            crashing=troubles.crashing_attempts,
+            abandoned=troubles.abandoned_attempts,
             stops=troubles.stops,
         )
         return summarise(
--- a/tests/test_faults.py
+++ b/tests/test_faults.py
@@ -1,4 +1,4 @@
-"""Troubles that a day's end cuts off leave nothing running."""
+"""Faults interrupted by the end of a scenario leave no process running."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 
 class Box:
-    """A box process that ends only when the test says so."""
+    """A box process that exits only when the test sets ``exited``."""
 
     def __init__(self):
         self.running = True
         self.name = "box"
-        self.gone = asyncio.Event()
+        self.exited = asyncio.Event()
         self.starts = 0
 
     def send_signal(self, number):
         pass
 
     async def ended(self):
-        await self.gone.wait()
+        await self.exited.wait()
         return 0
 
     def start(self):
@@ -32,22 +32,21 @@
         pass
 
 
-def test_a_box_that_is_being_stopped_as_the_day_ends_is_not_started_again():
-    """A box process was left running after a soak: it was started again once its day had
-    ended, by the wait for its end that nobody had cancelled."""
+def test_a_box_that_is_stopping_when_the_scenario_ends_is_not_started_again():
+    """Otherwise the box process would keep running after the scenario."""
 
     async def test():
         boxes = [Box(), Box()]
-        troubles = FaultInjector(SimpleNamespace(scenario=SimpleNamespace(seed=1), boxes=boxes))
+        injector = FaultInjector(SimpleNamespace(scenario=SimpleNamespace(seed=1), boxes=boxes))
         plan = FaultPlan(kind=FaultKind.BOX_STOP, at=0.0, share=1.0)
-        causing = asyncio.ensure_future(troubles.cause(plan))
+        injecting = asyncio.ensure_future(injector.inject(plan))
         for _ in range(20):
             await asyncio.sleep(0)
-        # The day ends between the first box and the second, and ends the boxes.
-        causing.cancel()
-        await asyncio.gather(causing, return_exceptions=True)
+        # The scenario ends after the first box was told to stop and before the second.
+        injecting.cancel()
+        await asyncio.gather(injecting, return_exceptions=True)
         for box in boxes:
-            box.gone.set()
+            box.exited.set()
         for _ in range(20):
             await asyncio.sleep(0)
         assert [box.starts for box in boxes] == [0, 0]
