--- a/dunlinnotch/cli/lab.py
+++ b/dunlinnotch/cli/lab.py
@@ -13,11 +13,17 @@
 
 from dunlinnotch.cli.common import Exit, FileCommand
 from dunlinnotch.errors import ConfigError
-from dunlinnotch.lab.day import Day, read_day
-from dunlinnotch.lab.draw import draw_day
+from dunlinnotch.lab.generate import generate_scenario
 from dunlinnotch.lab.plot import plot
-from dunlinnotch.lab.report import LATE_S, DayResult, as_text, compare, load_result
-from dunlinnotch.lab.run import play
+from dunlinnotch.lab.report import (
+    MAX_SEND_DELAY_S,
+    ScenarioResult,
+    format_comparison,
+    format_result,
+    load_result,
+)
+from dunlinnotch.lab.run import run_scenario
+from dunlinnotch.lab.scenario import Scenario, read_scenario
 
 if TYPE_CHECKING:
     from collections.abc import Coroutine
@@ -27,7 +33,7 @@
 _TERMINATED = 128 + signal.SIGTERM
 
 
-async def _until_terminated(work: Coroutine[None, None, DayResult]) -> DayResult:
+async def _until_terminated(work: Coroutine[None, None, ScenarioResult]) -> ScenarioResult:
     """Await work; the signal that ends the tool ends what the work started first."""
     task = asyncio.current_task()
     assert task is not None
@@ -38,11 +44,11 @@
 class LabCommand(FileCommand):
     """A command that plays days."""
 
-    def play(self, day: Day, logs: Path) -> DayResult:
+    def play(self, day: Scenario, logs: Path) -> ScenarioResult:
         """Play one day and show how far it is."""
         logs.mkdir(parents=True, exist_ok=True)
         try:
-            return asyncio.run(_until_terminated(play(day, logs, progress=self.line_error)))
+            return asyncio.run(_until_terminated(run_scenario(day, logs, progress=self.line_error)))
         except asyncio.CancelledError:
             raise SystemExit(_TERMINATED) from None
 
@@ -81,10 +87,10 @@
         """Play the day; return FAILED if a promise was broken."""
         file = self.argument("day")
         seed = self.whole("seed", 1, most=2**63)
-        day = draw_day(seed) if file is None else read_day(Path(file))
+        day = generate_scenario(seed) if file is None else read_scenario(Path(file))
         with tempfile.TemporaryDirectory() as folder:
             result = self.play(day, Path(self.option("logs") or folder))
-        self.line(as_text(result))
+        self.line(format_result(result))
         if self.option("save"):
             result.save(Path(self.option("save")))
         return Exit.FAILED if result.findings else Exit.OK
@@ -109,12 +115,14 @@
         keep = Path(self.option("keep") or "soak")
         broken = []
         for seed in range(first, first + days):
-            day = draw_day(seed)
+            day = generate_scenario(seed)
             kinds = ", ".join(f"{t.kind.value} at {t.at:g} s" for t in day.troubles)
             with tempfile.TemporaryDirectory() as folder:
                 result = self.play(day, Path(folder))
                 late = (
-                    f", tool late by {result.tool_late:.1f} s" if result.tool_late > LATE_S else ""
+                    f", tool late by {result.tool_late:.1f} s"
+                    if result.tool_late > MAX_SEND_DELAY_S
+                    else ""
                 )
                 found = len(result.findings)
                 self.line(f"{day.name}: {found} broken promises{late} ({kinds})")
@@ -124,7 +132,7 @@
         self.line(f"{days} days from seed {first}; broke a promise: {broken or 'none'}")
         return Exit.FAILED if broken else Exit.OK
 
-    def _keep(self, result: DayResult, logs: Path, where: Path) -> None:
+    def _keep(self, result: ScenarioResult, logs: Path, where: Path) -> None:
         where.mkdir(parents=True, exist_ok=True)
         result.save(where / "result.json")
         for log in logs.glob("*.log"):
@@ -148,7 +156,7 @@
     def act(self) -> Exit:
         """Print the comparison."""
         first, second = (load_result(Path(self.argument(n))) for n in ("first", "second"))
-        self.line(compare(first, second))
+        self.line(format_comparison(first, second))
         return Exit.OK
 
 
