--- a/dunlinnotch/coordination/membership/crash_gossip.py
+++ b/dunlinnotch/coordination/membership/crash_gossip.py
@@ -1,11 +1,11 @@
-"""Keep alike, at all boxes, what was seen of requests that end their targets.
-
-What a box sees goes at once to a few peers, which pass on what is new to them.  Each
-word of a box carries the digest of the evidence that decides something; whoever hears
-another digest than its own sends all that it has of this.  Requests that are barred are
-also kept in the platform's store, for boxes that find no peer to tell them: after all
-were lost, or cut off from the rest.  A store that comes back from a copy may have lost
-them, so they are kept there again.
+"""Replicate crash records, of requests whose targets crashed, to all boxes by gossip.
+
+A box sends new crash records to a few peers at once, which pass on what is new to
+them.  Each heartbeat carries the digest of the records that count towards a
+quarantine; a box that receives another digest than its own replies with its records.
+Quarantined requests are also stored in the platform's store, for boxes that reach no
+peer.  A store that was restored from a copy may have lost them, so they are then
+stored again.
 """
 
 from __future__ import annotations
@@ -39,32 +39,31 @@
 
     Send = Callable[[Iterable[CrashReport], Iterable[Address]], None]
 
-#: Our own table in the platform's store: a row for each barred request.
+#: Table in the platform's store with one row for each quarantined request.
 TABLE = "requests-that-end-targets"
-#: All that decides something is sent to a peer that holds other evidence at most once in
-#: so long, in seconds: what is new reaches most boxes by itself meanwhile.
-_REPAIR_S = 0.8
-#: Time between two looks whether the store is to be read or written, in seconds.
-_LOOK_S = 0.1
-#: Time for which a new box leaves it to its peers to tell it, in seconds: those of a
-#: place that start together need one reader.
-_PATIENCE_S = 0.8
-#: A new box serves after so long without any evidence, in seconds: a store that answers
-#: for the settings and not for this must not stop the service.
-_SERVE_ANYHOW_S = 2.0
-#: Time between two reads of a box that does not hear some place, in seconds: well under
-#: the time within which all boxes are to know.
-_CUT_OFF_S = 1.5
-#: Pause after a call to the store that failed, in seconds.
-_PAUSE_S = 0.4
-#: Lapsed rows that are removed with one change.
-_REMOVED_MOST = 40
+#: Shortest time between two replies with all records to the same peer, in seconds: new
+#: records reach most peers without such a reply.
+_MIN_REPAIR_INTERVAL_S = 0.8
+#: Interval between checks whether the store must be read or written, in seconds.
+_POLL_INTERVAL_S = 0.1
+#: Time for which a new box waits for the records of its peers before it reads the store,
+#: in seconds: of boxes that start together, one per place should read.
+_START_DELAY_S = 0.8
+#: Time after which a new box serves without crash records, in seconds: failed reads of
+#: this table alone must not stop the service.
+_SYNC_TIMEOUT_S = 2.0
+#: Interval between reads of the store while some place has no live box, in seconds.
+_PARTITION_READ_INTERVAL_S = 1.5
+#: Delay after a failed call to the store, in seconds.
+_RETRY_DELAY_S = 0.4
+#: Largest number of expired rows removed by one change.
+_MAX_REMOVED_ROWS = 40
 
 _log = logging.getLogger(__name__)
 
 
 class CrashGossip:
-    """Tell the evidence of this box, and take in that of the others.
+    """Send this box's crash records to its peers, and merge theirs.
 
     Parameters
     ----------
@@ -72,17 +71,17 @@
     mesh : Mesh
     store : RowStore
     send : callable
-        Sends evidence to peers.
+        Sends crash reports to peers.
     on_synced : callable
-        Called once this box holds what was seen before it started: its peers wait for that.
+        Called once this box holds the records from before its start.
     era : callable
-        Returns the era of the store: what was kept in an earlier one may be lost.
+        Returns the epoch of the store: rows written in an earlier one may be lost.
     rng : random.Random
 
     Attributes
     ----------
     synced : bool
-        Whether this box holds what was seen before it started.
+        Whether this box holds the records from before its start.
     """
 
     def __init__(
@@ -96,189 +95,187 @@
         era: Callable[[], int],
         rng: random.Random,
     ) -> None:
-        self._evidence = log
+        self._records = log
         self._mesh = mesh
         self._store = store
         self._send = send
         self._on_synced = on_synced
         self._era = era
-        self._kept_in_era: int | None = None
+        self._stored_in_era: int | None = None
         self._rng = rng
-        self._began = log.now
+        self._started_at = log.now
         self._read_at = -math.inf
-        self._told_all_at: dict[str, Seconds] = {}
-        self._to_keep: set[str] = set()
+        self._sent_all_at: dict[str, Seconds] = {}
+        self._to_store: set[str] = set()
         self.synced = False
 
     @property
     def may_serve(self) -> bool:
-        """Whether the box may take requests as far as this goes."""
-        return self.synced or self._evidence.now - self._began > _SERVE_ANYHOW_S
-
-    # -- to and from peers
-
-    def publish(self, seen: Sequence[CrashRecord]) -> None:
-        """Tell peers what this box has seen itself."""
-        self._changed(seen, keeps=True)
-
-    def receive(self, seen: CrashReport) -> None:
-        """Take in what a peer tells; pass it on if it is new."""
-        evidence = self._evidence.merge(from_ages(seen, self._evidence.now))
-        if evidence is not None:
-            self._changed([evidence], keeps=self._mesh.is_follower())
-
-    def compare_digest(self, word: Heartbeat) -> None:
-        """Compare a peer's evidence with this box's own."""
-        digest = self._evidence.digest
-        if word.crash_digest == digest:
+        """Whether the box may serve requests: it is synced, or has waited long enough."""
+        return self.synced or self._records.now - self._started_at > _SYNC_TIMEOUT_S
+
+    def publish(self, records: Sequence[CrashRecord]) -> None:
+        """Send the records of crashes that this box has seen itself to peers."""
+        self._distribute(records, stores=True)
+
+    def receive(self, report: CrashReport) -> None:
+        """Merge a peer's report, and pass it on if it is new."""
+        record = self._records.merge(from_ages(report, self._records.now))
+        if record is not None:
+            self._distribute([record], stores=self._mesh.is_follower())
+
+    def compare_digest(self, heartbeat: Heartbeat) -> None:
+        """Reply to a heartbeat with this box's records if the digests differ."""
+        digest = self._records.digest
+        if heartbeat.crash_digest == digest:
             self._mark_synced()
             return
-        last = self._told_all_at.get(word.name, -math.inf)
-        if self._evidence.conclusive and self._evidence.now - last > _REPAIR_S:
-            self._told_all_at[word.name] = self._evidence.now
-            self._send(self._settled(), [word.peer])
+        last = self._sent_all_at.get(heartbeat.name, -math.inf)
+        if self._records.conclusive and self._records.now - last > _MIN_REPAIR_INTERVAL_S:
+            self._sent_all_at[heartbeat.name] = self._records.now
+            self._send(self._conclusive_reports(), [heartbeat.peer])
 
-    def _settled(self) -> list[CrashReport]:
-        now = self._evidence.now
-        return [as_ages(evidence, now) for evidence in self._evidence.conclusive]
+    def _conclusive_reports(self) -> list[CrashReport]:
+        now = self._records.now
+        return [as_ages(record, now) for record in self._records.conclusive]
 
-    def _changed(self, new: Sequence[CrashRecord], *, keeps: bool) -> None:
-        """Log what is new, pass it on, and have the bars among it kept in the store.
+    def _distribute(self, new: Sequence[CrashRecord], *, stores: bool) -> None:
+        """Log new records, send them to peers, and store those of quarantined requests.
 
         Notes
         -----
-        One box of each place keeps what it hears too: three boxes may each have seen one
-        target end, so that none of them saw the bar, and the one that did may be lost.
+        The follower of each place also stores records that it receives: three boxes may
+        each have seen one target crash, so that none of them saw the quarantine itself.
         """
-        for evidence in new:
-            if keeps and evidence.consecutive_crashes >= QUARANTINE_THRESHOLD:
-                self._to_keep.add(evidence.request)
+        for record in new:
+            if stores and record.consecutive_crashes >= QUARANTINE_THRESHOLD:
+                self._to_store.add(record.request)
             event(
                 _log,
                 "evidence",
-                known_by=evidence.request,
-                targets=sorted(evidence.targets),
-                answers=evidence.answers,
-                barred_for_s=round(self._evidence.quarantine_left(evidence.request), 1),
+                known_by=record.request,
+                targets=sorted(record.targets),
+                answers=record.answers,
+                barred_for_s=round(self._records.quarantine_left(record.request), 1),
             )
         self._update_digest()
         peers = {*self._mesh.update_peers(), *self._mesh.remote_peers()}
-        self._send([as_ages(evidence, self._evidence.now) for evidence in new], peers)
+        self._send([as_ages(record, self._records.now) for record in new], peers)
 
     def _update_digest(self) -> None:
-        """Put the digest into the words of this box."""
-        self._mesh.crash_digest = self._evidence.digest if self.synced else None
+        """Set the digest that this box's heartbeats carry."""
+        self._mesh.crash_digest = self._records.digest if self.synced else None
 
     def _mark_synced(self) -> None:
-        before, self.synced = self.synced, True
+        was_synced, self.synced = self.synced, True
         self._update_digest()
-        if not before:
-            event(_log, "evidence-known", requests=len(self._evidence.conclusive))
+        if not was_synced:
+            event(_log, "evidence-known", requests=len(self._records.conclusive))
             self._on_synced()
 
-    # -- to and from the store
-
     async def run(self) -> None:
-        """Read and write the store's rows whenever this box is to."""
+        """Read and write rows of the store whenever needed, until cancelled."""
         while True:
             try:
-                if self._is_to_read():
-                    self._take_rows(await self._read())
-                self._keep_again()
-                for request in list(self._to_keep):
-                    await self._keep(request)
+                if self._must_read():
+                    self._merge_rows(await self._read())
+                self._restore_lost()
+                for request in list(self._to_store):
+                    await self._store_record(request)
             except PlatformUnavailableError as error:
                 event(_log, "evidence-store-failed", level=logging.WARNING, detail=str(error))
-                await asyncio.sleep(_PAUSE_S)
-            await asyncio.sleep(_LOOK_S * (0.8 + 0.4 * self._rng.random()))
+                await asyncio.sleep(_RETRY_DELAY_S)
+            await asyncio.sleep(_POLL_INTERVAL_S * (0.8 + 0.4 * self._rng.random()))
 
-    def _is_to_read(self) -> bool:
-        now = self._evidence.now
+    def _must_read(self) -> bool:
+        now = self._records.now
         if not self.synced:
-            return self._mesh.is_follower() or now - self._began > _PATIENCE_S
-        cut_off = self._mesh.is_follower() and bool(self._mesh.silent_places())
-        return cut_off and now - self._read_at > _CUT_OFF_S
+            return self._mesh.is_follower() or now - self._started_at > _START_DELAY_S
+        partitioned = self._mesh.is_follower() and bool(self._mesh.silent_places())
+        return partitioned and now - self._read_at > _PARTITION_READ_INTERVAL_S
 
     async def _read(self) -> RowsRead:
-        self._read_at = self._evidence.now
+        self._read_at = self._records.now
         return await self._store.read_rows(TABLE)
 
-    def _take_rows(self, read: RowsRead) -> None:
-        merged = [self._evidence.merge(evidence) for evidence in self._kept(read).values()]
-        new = [evidence for evidence in merged if evidence is not None]
+    def _merge_rows(self, read: RowsRead) -> None:
+        merged = [self._records.merge(record) for record in self._stored_records(read).values()]
+        new = [record for record in merged if record is not None]
         if new:
-            self._changed(new, keeps=False)
+            self._distribute(new, stores=False)
         self._mark_synced()
 
-    def _kept(self, read: RowsRead) -> dict[str, CrashRecord]:
-        """Return the evidence in rows, by this box's clock; what can't be read is logged."""
-        kept = {}
+    def _stored_records(self, read: RowsRead) -> dict[str, CrashRecord]:
+        """Return the records in rows, with times of this box's clock; log unreadable ones."""
+        stored = {}
         for row in read.rows:
             try:
-                kept[row.key] = _by_clock(
-                    unpack_crashes(row.value or b""), read, self._evidence.now
+                stored[row.key] = _to_local_times(
+                    unpack_crashes(row.value or b""), read, self._records.now
                 )
             except ProtocolError as error:
                 event(_log, "evidence-unreadable", level=logging.WARNING, detail=str(error))
-        return kept
+        return stored
 
-    def _keep_again(self) -> None:
-        """Have all bars kept once more after the store has come back from a copy."""
+    def _restore_lost(self) -> None:
+        """Store all quarantined requests again after the store's epoch has changed."""
         era = self._era()
-        if self._kept_in_era is None:
-            self._kept_in_era = era if self.synced else None
-        elif era > self._kept_in_era and self._mesh.is_follower():
-            self._kept_in_era = era
-            barred = [
+        if self._stored_in_era is None:
+            self._stored_in_era = era if self.synced else None
+        elif era > self._stored_in_era and self._mesh.is_follower():
+            self._stored_in_era = era
+            quarantined = [
                 e.request
-                for e in self._evidence.conclusive
+                for e in self._records.conclusive
                 if e.consecutive_crashes >= QUARANTINE_THRESHOLD
             ]
-            self._to_keep.update(barred)
+            self._to_store.update(quarantined)
 
-    async def _keep(self, request: str) -> None:
-        """Keep a barred request in the store, unless it is kept already or barred no more."""
+    async def _store_record(self, request: str) -> None:
+        """Store a request's record, unless it is stored already or quarantined no more."""
         read = await self._read()
-        self._take_rows(read)
-        own = self._evidence.find(request)
-        kept = self._kept(read)
+        self._merge_rows(read)
+        record = self._records.find(request)
+        stored = self._stored_records(read)
         if (
-            own is None
-            or own.consecutive_crashes < QUARANTINE_THRESHOLD
-            or _covers(kept.get(request), own)
+            record is None
+            or record.consecutive_crashes < QUARANTINE_THRESHOLD
+            or _is_stored(stored.get(request), record)
         ):
-            self._to_keep.discard(request)
+            self._to_store.discard(request)
             return
         versions = {row.key: row.version for row in read.rows}
-        lapsed = [k for k in versions if k not in kept or kept[k].last_at <= self._oldest]
-        lapsed = [key for key in lapsed if key != request][:_REMOVED_MOST]
-        expected = {key: versions[key] for key in lapsed}
+        expired = [
+            k for k in versions if k not in stored or stored[k].last_at <= self._expired_before
+        ]
+        expired = [key for key in expired if key != request][:_MAX_REMOVED_ROWS]
+        expected = {key: versions[key] for key in expired}
         expected[request] = versions.get(request, 0)
-        value = pack_crashes(_by_store(own, read, self._evidence.now))
-        change = RowsChange(TABLE, expected, {request: value}, tuple(lapsed))
+        value = pack_crashes(_to_store_times(record, read, self._records.now))
+        change = RowsChange(TABLE, expected, {request: value}, tuple(expired))
         if await self._store.change_rows(change):
-            self._to_keep.discard(request)
-            event(_log, "evidence-kept", known_by=request, removed=len(lapsed))
+            self._to_store.discard(request)
+            event(_log, "evidence-kept", known_by=request, removed=len(expired))
 
     @property
-    def _oldest(self) -> Seconds:
-        return self._evidence.now - RETENTION_S
+    def _expired_before(self) -> Seconds:
+        return self._records.now - RETENTION_S
 
 
-def _covers(kept: CrashRecord | None, own: CrashRecord) -> bool:
-    """Return whether what is kept bars a request for as long as what this box holds does."""
+def _is_stored(stored: CrashRecord | None, record: CrashRecord) -> bool:
+    """Return whether a stored record quarantines a request for as long as this box's does."""
     return (
-        kept is not None
-        and kept.answers == own.answers
-        and kept.consecutive_crashes >= own.consecutive_crashes
+        stored is not None
+        and stored.answers == record.answers
+        and stored.consecutive_crashes >= record.consecutive_crashes
     )
 
 
-def _by_store(evidence: CrashRecord, read: RowsRead, now: Seconds) -> CrashReport:
-    """Return evidence with times of the store's clock."""
-    return as_ages(evidence, now).counted_from(round(read.now * 1000))
+def _to_store_times(record: CrashRecord, read: RowsRead, now: Seconds) -> CrashReport:
+    """Return a report of a record with times of the store's clock."""
+    return as_ages(record, now).counted_from(round(read.now * 1000))
 
 
-def _by_clock(kept: CrashReport, read: RowsRead, now: Seconds) -> CrashRecord:
-    """Return kept evidence with times of this box's clock."""
-    return from_ages(kept.counted_from(round(read.now * 1000)), now)
+def _to_local_times(stored: CrashReport, read: RowsRead, now: Seconds) -> CrashRecord:
+    """Return the record of a stored report, with times of this box's clock."""
+    return from_ages(stored.counted_from(round(read.now * 1000)), now)
--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -270,11 +270,11 @@
 
 
 def _tell_no_peer(self, new):
-    self._publish()
+    self._update_digest()
 
 
 def _keep_nothing(self, request):
-    self._to_keep.discard(request)
+    self._to_store.discard(request)
 
 
 def _all_at_once_count(self):
@@ -325,8 +325,10 @@
     Mutant("take any answer for one's own", WorkerDialect, "classify", _anybodys_answer, ENTRY),
     Mutant("promise for a bare 503", WorkerDialect, "classify", _no_promise_checked, ENTRY),
     Mutant("bar no request", CrashGuard, "quarantine_left", _bar_nothing, CRASHING),
-    Mutant("tell no peer what ended targets", CrashGossip, "_changed", _tell_no_peer, CRASH_GOSSIP),
-    Mutant("keep no bar in the store", CrashGossip, "_keep", _keep_nothing, CRASH_GOSSIP),
+    Mutant(
+        "tell no peer what ended targets", CrashGossip, "_distribute", _tell_no_peer, CRASH_GOSSIP
+    ),
+    Mutant("keep no bar in the store", CrashGossip, "_store_record", _keep_nothing, CRASH_GOSSIP),
     Mutant(
         "count targets that ended at once",
         CrashRecord,
@@ -432,7 +434,7 @@
     Mutant(
         "keep a bar in the store only once",
         CrashGossip,
-        "_keep_again",
+        "_restore_lost",
         _keep_once,
         "tests/test_crash_gossip.py",
     ),
--- a/tests/test_crash_gossip.py
+++ b/tests/test_crash_gossip.py
@@ -1,4 +1,4 @@
-"""Evidence reaches all boxes, over links that lose it, and outlives the boxes in the store."""
+"""Guards that crash records reach all boxes despite datagram loss, and survive in the store."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 class Rows:
-    """The rows of a store that may be away."""
+    """A store of rows that a test can make unavailable."""
 
     def __init__(self):
         self.rows = {}
         self.era = 1
         self.version = 0
         self.now = 500.0
-        self.away = False
+        self.unavailable = False
         self.calls = 0
 
     async def read_rows(self, table):
@@ -50,17 +50,17 @@
 
     def _call(self):
         self.calls += 1
-        if self.away:
-            raise PlatformUnavailableError("away")
+        if self.unavailable:
+            raise PlatformUnavailableError("unavailable")
 
 
-class TellingBoxes(Boxes):
-    """Boxes that also tell each other of requests that end targets."""
+class ReportingBoxes(Boxes):
+    """Boxes that also send each other crash reports."""
 
     def __init__(self, count, *, lost=0.0, store=None):
         super().__init__(count, lost=lost)
         self.store = store or Rows()
-        self.evidence_bytes = 0
+        self.report_bytes = 0
         self.queue = []
         self.logs = {name: CrashLog(clock=self.clock) for name in self.meshes}
         self.gossip = {name: self._make_gossip(name) for name in self.meshes}
@@ -71,7 +71,7 @@
         def send(seen, to):
             for message in seen:
                 size = sum(map(len, pack_messages([message])))
-                self.evidence_bytes += size * len(list(to))
+                self.report_bytes += size * len(list(to))
                 self.queue += [(message, peer) for peer in to]
 
         rng = random.Random(1)
@@ -85,83 +85,80 @@
             rng=rng,
         )
 
-    def _take(self, name, word):
-        self.gossip[name].compare_digest(word)
-        return super()._take(name, word)
+    def _take(self, name, heartbeat):
+        self.gossip[name].compare_digest(heartbeat)
+        return super()._take(name, heartbeat)
 
     def deliver(self):
-        """Deliver evidence until none is on its way."""
+        """Deliver reports until none is in transit."""
         while self.queue:
             message, peer = self.queue.pop(0)
             if self.rng.random() >= self.lost:
                 self.gossip[peer].receive(message)
 
-    def see(self, name, targets, *, request="worst"):
-        """Have a box see targets end under a request."""
+    def observe_crash(self, name, targets, *, request="worst"):
+        """Have a box see targets crash while serving a request."""
         self.gossip[name].publish([self.logs[name].record_crashes(request, targets)])
         self.deliver()
 
-    def turn(self):
-        """Have all boxes send their words once."""
+    def beat_and_deliver(self):
+        """Have all boxes send one heartbeat, and deliver all reports."""
         self.beat()
         self.deliver()
 
-    def barring(self, request="worst"):
-        """Return how many boxes send a request to no target."""
+    def quarantining(self, request="worst"):
+        """Return how many boxes have a request in quarantine."""
         return sum(log.quarantine_left(request) > 0 for log in self.logs.values())
 
 
 @pytest.mark.parametrize("count", [3, 18, 142])
-def test_what_three_boxes_saw_is_known_to_nearly_all_at_once_and_to_all_soon(count):
-    boxes = TellingBoxes(count).settled()
+def test_records_of_three_boxes_reach_most_boxes_at_once_and_all_within_four_heartbeats(count):
+    boxes = ReportingBoxes(count).settled()
     for number, (target, span) in enumerate(TARGETS.items()):
-        boxes.see(f"box-{number}", {target: span})
-    assert boxes.barring() >= 0.9 * count
+        boxes.observe_crash(f"box-{number}", {target: span})
+    assert boxes.quarantining() >= 0.9 * count
     for _ in range(4):
-        boxes.turn()
-    assert boxes.barring() == count
+        boxes.beat_and_deliver()
+    assert boxes.quarantining() == count
 
 
 @pytest.mark.parametrize("lost", [0.1, 0.4])
-def test_links_that_lose_datagrams_only_delay_it(lost):
-    boxes = TellingBoxes(40, lost=lost).settled()
+def test_lost_datagrams_only_delay_a_quarantine(lost):
+    boxes = ReportingBoxes(40, lost=lost).settled()
     for number, (target, span) in enumerate(TARGETS.items()):
-        boxes.see(f"box-{number}", {target: span})
-    turns = 0
-    while boxes.barring() < 40:
-        boxes.turn()
-        turns += 1
-        assert turns * BEAT_S <= 3.0
+        boxes.observe_crash(f"box-{number}", {target: span})
+    intervals = 0
+    while boxes.quarantining() < 40:
+        boxes.beat_and_deliver()
+        intervals += 1
+        assert intervals * BEAT_S <= 3.0
 
 
-def test_boxes_that_agree_send_no_evidence():
-    boxes = TellingBoxes(18).settled()
+def test_boxes_with_equal_digests_send_no_reports():
+    boxes = ReportingBoxes(18).settled()
     for number, (target, span) in enumerate(TARGETS.items()):
-        boxes.see(f"box-{number}", {target: span})
+        boxes.observe_crash(f"box-{number}", {target: span})
     for _ in range(6):
-        boxes.turn()
-    boxes.evidence_bytes = 0
+        boxes.beat_and_deliver()
+    boxes.report_bytes = 0
     for _ in range(6):
-        boxes.turn()
-    assert boxes.evidence_bytes == 0
+        boxes.beat_and_deliver()
+    assert boxes.report_bytes == 0
 
 
-def test_a_box_that_was_cut_off_catches_up_by_the_words_of_others():
-    boxes = TellingBoxes(6).settled()
-    boxes.see("box-0", TARGETS)
+def test_a_box_without_records_receives_them_in_reply_to_its_heartbeat():
+    boxes = ReportingBoxes(6).settled()
+    boxes.observe_crash("box-0", TARGETS)
     late = boxes.logs["box-5"]
     late._records.clear()
     boxes.gossip["box-5"]._update_digest()
-    boxes.turn()
-    boxes.turn()
+    boxes.beat_and_deliver()
+    boxes.beat_and_deliver()
     assert late.quarantine_left("worst") > 0
 
 
-# -- the store
-
-
 async def work(gossip, until):
-    """Let a box read and write its rows until something holds."""
+    """Let a box read and write its rows until a condition holds."""
     task = asyncio.create_task(gossip.run())
     try:
         async with asyncio.timeout(20):
@@ -171,7 +168,7 @@
         task.cancel()
 
 
-def alone(store, clock=None):
+def box_without_peers(store, clock=None):
     """Return a box without peers that has just started."""
     boxes = Boxes(1)
     if clock is not None:
@@ -190,16 +187,16 @@
     return gossip, log, boxes
 
 
-def test_a_bar_is_kept_and_read_by_boxes_that_start_anew_with_its_age():
+def test_a_stored_quarantine_is_read_with_its_age_by_a_restarted_box():
     async def test():
         store = Rows()
-        gossip, log, boxes = alone(store)
+        gossip, log, boxes = box_without_peers(store)
         await work(gossip, lambda: gossip.synced)
         boxes.clock.now += 1
         gossip.publish([log.record_crashes("worst", TARGETS)])
         await work(gossip, lambda: store.rows)
         store.now += 60
-        again, later, _ = alone(store, clock=7.0)
+        again, later, _ = box_without_peers(store, clock=7.0)
         assert again.synced is False
         await work(again, lambda: again.synced)
         assert MIN_QUARANTINE_S - 62 < later.quarantine_left("worst") <= MIN_QUARANTINE_S - 60
@@ -207,40 +204,40 @@
     asyncio.run(test())
 
 
-def test_a_bar_that_no_box_saw_alone_is_kept_by_one_that_hears_of_it():
+def test_a_quarantine_that_results_from_records_of_several_boxes_is_stored():
     async def test():
         store = Rows()
-        boxes = TellingBoxes(9, store=store).settled()
-        told = [
+        boxes = ReportingBoxes(9, store=store).settled()
+        records = [
             boxes.logs[f"box-{number}"].record_crashes("worst", {target: span})
             for number, (target, span) in enumerate(TARGETS.items())
         ]
-        # All three tell at once, before they hear each other.
-        for number, evidence in enumerate(told):
-            boxes.gossip[f"box-{number}"].publish([evidence])
+        # All three send before any receives a report.
+        for number, record in enumerate(records):
+            boxes.gossip[f"box-{number}"].publish([record])
         boxes.deliver()
-        assert boxes.barring() == 9
-        first = next(m for m in boxes.meshes.values() if m.is_follower())
-        await work(boxes.gossip[first.name], lambda: store.rows)
+        assert boxes.quarantining() == 9
+        follower = next(m for m in boxes.meshes.values() if m.is_follower())
+        await work(boxes.gossip[follower.name], lambda: store.rows)
 
     asyncio.run(test())
 
 
-async def with_bar_kept(store):
-    """Return a box without peers that has had a bar kept in the store."""
-    gossip, log, _ = alone(store)
+async def box_with_stored_quarantine(store):
+    """Return a box without peers that has stored a quarantined request."""
+    gossip, log, _ = box_without_peers(store)
     await work(gossip, lambda: gossip.synced)
     gossip.publish([log.record_crashes("worst", TARGETS)])
     await work(gossip, lambda: store.rows)
     return gossip
 
 
-def test_a_bar_that_a_store_back_from_a_copy_lost_is_kept_again():
-    """It would be unknown to boxes that start anew after all were lost."""
+def test_a_quarantine_lost_by_a_restored_store_is_stored_again():
+    """Otherwise it would be lost if all boxes restarted."""
 
     async def test():
         store = Rows()
-        gossip = await with_bar_kept(store)
+        gossip = await box_with_stored_quarantine(store)
         store.rows.clear()
         store.era += 1
         await work(gossip, lambda: store.rows)
@@ -249,22 +246,22 @@
     asyncio.run(test())
 
 
-def test_a_bar_that_is_still_kept_after_the_store_came_back_costs_one_reading():
+def test_a_quarantine_still_present_in_a_restored_store_is_only_read():
     async def test():
         store = Rows()
-        gossip = await with_bar_kept(store)
+        gossip = await box_with_stored_quarantine(store)
         version, calls = store.version, store.calls
         store.era += 1
-        await work(gossip, lambda: store.calls > calls and not gossip._to_keep)
+        await work(gossip, lambda: store.calls > calls and not gossip._to_store)
         assert (store.version, store.calls) == (version, calls + 1)
 
     asyncio.run(test())
 
 
-def test_what_bars_nothing_is_not_kept():
+def test_a_record_without_a_quarantine_is_not_stored():
     async def test():
         store = Rows()
-        gossip, log, _ = alone(store)
+        gossip, log, _ = box_without_peers(store)
         await work(gossip, lambda: gossip.synced)
         gossip.publish([log.record_crashes("once", targets(1))])
         gossip.publish([log.record_crashes("worst", TARGETS)])
@@ -274,27 +271,27 @@
     asyncio.run(test())
 
 
-def test_a_store_that_is_away_is_asked_again_until_it_keeps_the_bar():
+def test_storing_a_quarantine_is_retried_while_the_store_is_unavailable():
     async def test():
         store = Rows()
-        gossip, log, _ = alone(store)
+        gossip, log, _ = box_without_peers(store)
         await work(gossip, lambda: gossip.synced)
-        store.away = True
+        store.unavailable = True
         calls = store.calls
         gossip.publish([log.record_crashes("worst", TARGETS)])
         await work(gossip, lambda: store.calls > calls + 1)
         assert not store.rows
-        store.away = False
+        store.unavailable = False
         await work(gossip, lambda: store.rows)
 
     asyncio.run(test())
 
 
-def test_a_box_serves_without_evidence_once_nobody_can_tell_it():
+def test_a_box_serves_without_records_after_the_sync_timeout():
     async def test():
         store = Rows()
-        store.away = True
-        gossip, _, boxes = alone(store)
+        store.unavailable = True
+        gossip, _, boxes = box_without_peers(store)
         await work(gossip, lambda: store.calls > 1)
         assert not gossip.may_serve
         boxes.clock.now += 3
@@ -304,16 +301,16 @@
     asyncio.run(test())
 
 
-def test_lapsed_and_unreadable_rows_are_removed_with_the_next_change(caplog):
+def test_expired_and_unreadable_rows_are_removed_with_the_next_change(caplog):
     async def test():
         store = Rows()
-        gossip, log, _ = alone(store)
+        gossip, log, _ = box_without_peers(store)
         await work(gossip, lambda: gossip.synced)
         gossip.publish([log.record_crashes("old", TARGETS)])
         await work(gossip, lambda: store.rows)
         store.rows["noise"] = (77, b"\xc1")
         store.now += 2 * RETENTION_S
-        again, later, _ = alone(store)
+        again, later, _ = box_without_peers(store)
         await work(again, lambda: again.synced)
         assert later.quarantine_left("old") == 0
         again.publish([later.record_crashes("new", TARGETS)])
@@ -325,18 +322,18 @@
     assert any(record.message == "evidence-unreadable" for record in caplog.records)
 
 
-def test_a_box_that_hears_no_box_of_another_place_reads_the_store():
+def test_a_follower_without_live_boxes_in_another_place_reads_the_store():
     async def test():
         store = Rows()
-        boxes = TellingBoxes(8, store=store).settled()
-        boxes.see("box-0", TARGETS)
+        boxes = ReportingBoxes(8, store=store).settled()
+        boxes.observe_crash("box-0", TARGETS)
         await work(boxes.gossip["box-0"], lambda: store.rows)
-        # Its place hears none of the others any more, and missed the gossip.
-        first = next(m for m in boxes.meshes.values() if m.place == "lekki" and m.is_follower())
-        log = boxes.logs[first.name]
+        # Its place receives no heartbeats any more, and missed the reports.
+        follower = next(m for m in boxes.meshes.values() if m.place == "lekki" and m.is_follower())
+        log = boxes.logs[follower.name]
         log._records.clear()
         boxes.clock.now += 30
-        assert first.silent_places()
-        await work(boxes.gossip[first.name], lambda: log.quarantine_left("worst") > 0)
+        assert follower.silent_places()
+        await work(boxes.gossip[follower.name], lambda: log.quarantine_left("worst") > 0)
 
     asyncio.run(test())
