--- a/dunlinnotch/coordination/membership/__init__.py
+++ b/dunlinnotch/coordination/membership/__init__.py
@@ -1,5 +1,6 @@
-"""Which boxes there are, what they tell each other, and which a caller should use.
+"""Membership of boxes: heartbeats, gossip of crash records, and steering of callers.
 
-Upholds: what a box sends is bounded; a box never speaks for an older start of
-itself; silent and leaving boxes are not offered.
+Guarantees that the traffic of one box is bounded, that state of an earlier start of a
+box never replaces that of a later one, and that callers are not offered boxes that
+failed or are leaving.
 """
--- a/dunlinnotch/coordination/membership/rows.py
+++ b/dunlinnotch/coordination/membership/rows.py
@@ -1,8 +1,8 @@
-"""Which boxes there are, what they say of themselves, and whom to link to.
+"""Membership by rows: the state of each box, and the peers to link to.
 
-Rows spread along a bounded number of links as deltas.  Each row is written
-by the box that it describes; the larger (incarnation, sequence) wins, so a
-box that restarted, or woke up, never speaks for its older self.
+Rows spread as deltas along a bounded number of links.  Each row is written by the
+box that it describes.  The row with the larger (incarnation, sequence) wins, so a
+late row of an earlier start never replaces that of a later one.
 """
 
 from __future__ import annotations
@@ -25,29 +25,30 @@
     from dunlinnotch.state.boxes import BoxRow, LeavingTarget
     from dunlinnotch.types import Address, Clock, Seconds, Version
 
-#: Edits sent in one turn of a link; more than these go as a whole tree.
-_EDITS_A_TURN = 64
+#: Largest number of edits in one sync message; for more, the complete tree is sent.
+_MAX_EDITS_PER_SYNC = 64
 
 _log = logging.getLogger(__name__)
 
 
 @dataclass(slots=True)
-class _Known:
-    """A row with the local time at which it was heard."""
+class _ReceivedRow:
+    """A row with the local time at which it was received."""
 
     row: BoxRow
-    heard_at: Seconds
+    received_at: Seconds
 
 
 class Membership:
-    """Rows of all boxes as this one knows them.
+    """One box's view of the rows of all boxes.
 
     Parameters
     ----------
     own : BoxRow
-        This box's first row.
+        First row of this box.
     holder : SettingsHolder
     clock : callable
+        Returns monotonic seconds.
     suspect_s : float, default 2.0
         Seconds without a newer row after which a box is no longer offered to
         callers.
@@ -73,10 +74,10 @@
         self._clock = clock
         self.suspect_s = suspect_s
         self._forget_s = forget_s
-        self._known: dict[str, _Known] = {}
+        self._received: dict[str, _ReceivedRow] = {}
         self._listed: dict[str, ListedBox] = {}
         self._changed = threading.Condition(threading.RLock())
-        self._peer_heard_at: Seconds | None = None
+        self._peer_received_at: Seconds | None = None
         self._table_read_at: Seconds | None = None
 
     @property
@@ -99,7 +100,7 @@
         in_flight : int, optional
         state : RunState, optional
         version : int, optional
-            Settings version that has just come into force.
+            Settings version that has just become active.
         leaving : tuple of LeavingTarget, optional
         """
         with self._changed:
@@ -117,52 +118,54 @@
             return self._own
 
     def next_sync(self, link: LinkState) -> Sync:
-        """Return what the peer on ``link`` may not know yet."""
+        """Return the rows and edits that the peer on ``link`` may lack."""
         with self._changed:
             rows = tuple(r for r in self._all_rows() if r.recency > link.rows.get(r.name, (0, 0)))
             link.rows.update({row.name: row.recency for row in rows})
             tree = self._holder.tree
             edits = tree.edits_after(link.version)
-            whole = edits is None or len(edits) > _EDITS_A_TURN
+            send_tree = edits is None or len(edits) > _MAX_EDITS_PER_SYNC
             return Sync(
                 sender=self._own.name,
                 incarnation=self._own.incarnation,
                 version=tree.version,
                 table_age=self.table_age(),
                 rows=rows,
-                edits=() if whole or edits is None else edits,
-                tree=tree if whole else None,
+                edits=() if send_tree or edits is None else edits,
+                tree=tree if send_tree else None,
             )
 
     def apply(self, sync: Sync, link: LinkState) -> None:
-        """Take in what a peer sent."""
+        """Apply the rows and edits that a peer sent."""
         link.version = sync.version
         if sync.tree is not None:
             self._holder.replace(sync.tree)
         self._holder.advance(sync.edits)
         with self._changed:
             now = self._clock()
-            self._peer_heard_at = now
+            self._peer_received_at = now
             for row in sync.rows:
                 link.rows[row.name] = max(row.recency, link.rows.get(row.name, (0, 0)))
-                self._take_row(row, now)
+                self._apply_row(row, now)
             self._changed.notify_all()
 
     def apply_listing(self, boxes: Iterable[ListedBox]) -> None:
-        """Take in the platform's list of boxes, which lags."""
+        """Replace the platform's list of boxes, which may be outdated."""
         with self._changed:
             self._listed = {box.name: box for box in boxes}
             self._forget()
 
     def record_table_read(self, at: Seconds) -> None:
-        """Note that the table answered a question asked at ``at``."""
+        """Record that a read of the table that began at ``at`` succeeded."""
         with self._changed:
             self._table_read_at = at
 
     def last_contact(self) -> Seconds | None:
-        """Return when the table or a peer was last heard, or None if never."""
-        heard = [t for t in (self._table_read_at, self._peer_heard_at) if t is not None]
-        return max(heard, default=None)
+        """Return when the table was last read or a peer last sent rows; None if never."""
+        received = [
+            moment for moment in (self._table_read_at, self._peer_received_at) if moment is not None
+        ]
+        return max(received, default=None)
 
     def rows(self) -> list[BoxRow]:
         """Return the newest row of each known box, this one first."""
@@ -170,20 +173,24 @@
             return self._all_rows()
 
     def live(self) -> list[BoxRow]:
-        """Return rows of boxes that are up and may serve, draining ones included."""
+        """Return the rows of live boxes that have not stopped, draining ones included."""
         with self._changed:
             now = self._clock()
-            heard = [k.row for k in self._known.values() if now - k.heard_at <= self.suspect_s]
-            return [row for row in (self._own, *heard) if row.state is not RunState.STOPPED]
+            received = [
+                entry.row
+                for entry in self._received.values()
+                if now - entry.received_at <= self.suspect_s
+            ]
+            return [row for row in (self._own, *received) if row.state is not RunState.STOPPED]
 
     def unconfirmed_boxes(self, version: Version) -> tuple[str, ...]:
-        """Return the boxes that may serve and have not confirmed ``version``.
+        """Return the names of boxes that may serve and have not confirmed ``version``.
 
         Notes
         -----
-        A box counts until it confirms, says that it has stopped, or is both
-        silent for ``forget_s`` and gone from the platform's list.  So a box
-        that can't be heard makes an edit wait rather than be called accepted.
+        A box counts until it confirms, reports that it has stopped, or is both silent
+        for ``forget_s`` and gone from the platform's list.  An unreachable box thus
+        delays an edit, which must not count as accepted before that box applies it.
         """
         with self._changed:
             self._forget()
@@ -193,11 +200,11 @@
                 if row.version < version and row.state is not RunState.STOPPED
             }
             known = {row.name for row in self._all_rows()}
-            unheard = {box.name for box in self._listed.values() if not box.leaving} - known
-            return tuple(sorted(behind | unheard))
+            unknown = {box.name for box in self._listed.values() if not box.leaving} - known
+            return tuple(sorted(behind | unknown))
 
     def wait_confirmed(self, version: Version, timeout: Seconds) -> bool:
-        """Wait until no box is :meth:`unconfirmed_boxes` for the version."""
+        """Wait until :meth:`unconfirmed_boxes` is empty; return False on a timeout."""
         with self._changed:
             return self._changed.wait_for(lambda: not self.unconfirmed_boxes(version), timeout)
 
@@ -207,16 +214,15 @@
         Parameters
         ----------
         count : int
-            Most links that this box opens.
+            Largest number of links that this box opens.
         seeds : iterable of str
-            Addresses used while too few peers are known.
+            Addresses used while no peer is known.
 
         Returns
         -------
         dict of str to str
-            The next live box by name, which keeps the graph in one piece,
-            then one in another place, then those with the highest rendezvous
-            weight.
+            The next box by name, which keeps the graph of links connected, then a live
+            one in another place, then those with the highest rendezvous weight.
         """
         with self._changed:
             others = {row.name: row for row in self.live() if row.name != self._own.name}
@@ -225,8 +231,8 @@
         if not addresses:
             return {seed: seed for seed in seeds if seed != self._own.peer}
         chosen = [self._next_name(sorted(addresses))]
-        away = [name for name, row in others.items() if row.place != self._own.place]
-        chosen += highest_weighted(self._own.name, away, 1)
+        other_place = [name for name, row in others.items() if row.place != self._own.place]
+        chosen += highest_weighted(self._own.name, other_place, 1)
         chosen += highest_weighted(self._own.name, addresses, count)
         names = list(dict.fromkeys(chosen))[:count]
         return {name: addresses[name] for name in names}
@@ -235,13 +241,13 @@
         return next((name for name in names if name > self._own.name), names[0])
 
     def _all_rows(self) -> list[BoxRow]:
-        return [self._own, *(known.row for known in self._known.values())]
+        return [self._own, *(known.row for known in self._received.values())]
 
-    def _take_row(self, row: BoxRow, now: Seconds) -> None:
+    def _apply_row(self, row: BoxRow, now: Seconds) -> None:
         if row.name == self._own.name:
-            self._meet_namesake(row)
+            self._check_replaced(row)
             return
-        known = self._known.get(row.name)
+        known = self._received.get(row.name)
         if known is not None and row.recency <= known.row.recency:
             return
         if (
@@ -257,24 +263,24 @@
                 incarnation=row.incarnation,
                 place=row.place,
             )
-        self._known[row.name] = _Known(row, now)
+        self._received[row.name] = _ReceivedRow(row, now)
 
-    def _meet_namesake(self, row: BoxRow) -> None:
-        """Note a newer process of the same name; the older one must stop serving."""
+    def _check_replaced(self, row: BoxRow) -> None:
+        """Stop serving if a later start of this box exists."""
         if row.incarnation > self._own.incarnation and self._own.state is not RunState.STOPPED:
             event(_log, "replaced", level=logging.WARNING, incarnation=row.incarnation)
             self._own = replace(self._own, state=RunState.STOPPED)
 
     def _forget(self) -> None:
         now = self._clock()
-        gone = [
+        expired = [
             name
-            for name, known in self._known.items()
-            if now - known.heard_at > self._forget_s and name not in self._listed
+            for name, known in self._received.items()
+            if now - known.received_at > self._forget_s and name not in self._listed
         ]
-        for name in gone:
+        for name in expired:
             event(_log, "box-forgotten", box=name)
-            del self._known[name]
+            del self._received[name]
 
     def table_age(self) -> Seconds | None:
         """Return the seconds since this box last read the table, or None if it never did."""
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -14,15 +14,15 @@
 
 
 class Peer:
-    """One box's knowledge, and its links to others."""
+    """One box's membership, and its links to others."""
 
     def __init__(self, name, clock, **row):
         self.holder = SettingsHolder()
         self.members = Membership(box_row(name, **row), holder=self.holder, clock=clock)
         self.links = {}
 
-    def meet(self, other):
-        """Take one turn of the link to another box, both ways."""
+    def sync_with(self, other):
+        """Run one sync round on the link to another box, both ways."""
         ours, theirs = self.links.setdefault(other, (LinkState(), LinkState()))
         other.members.apply(self.members.next_sync(ours), theirs)
         self.members.apply(other.members.next_sync(theirs), ours)
@@ -47,36 +47,36 @@
     return sorted(row.name for row in peer.members.live())
 
 
-def test_rows_and_edits_pass_on_from_box_to_box(three):
+def test_rows_and_edits_spread_from_box_to_box(three):
     a, b, c = three
     a.edit(1)
-    a.meet(b)
-    b.meet(c)
+    a.sync_with(b)
+    b.sync_with(c)
     assert names(c) == ["a", "b", "c"]
     assert c.holder.version == 1
     assert a.members.unconfirmed_boxes(1) == ("b",)
     b.members.refresh_own()
     c.members.refresh_own()
-    b.meet(c)
-    a.meet(b)
+    b.sync_with(c)
+    a.sync_with(b)
     assert a.members.unconfirmed_boxes(1) == ()
 
 
-def test_only_what_is_new_is_sent(three):
+def test_only_new_rows_are_sent(three):
     a, b, _ = three
-    a.meet(b)
-    a.meet(b)
+    a.sync_with(b)
+    a.sync_with(b)
     assert a.members.next_sync(a.links[b][0]).rows == ()
     a.members.refresh_own()
     assert [row.name for row in a.members.next_sync(a.links[b][0]).rows] == ["a"]
 
 
-def test_box_far_behind_gets_the_whole_tree(three):
+def test_a_peer_far_behind_receives_the_complete_tree(three):
     a, b, _ = three
     for version in range(1, 101):
         a.edit(version)
-    a.meet(b)
-    b.meet(a)
+    a.sync_with(b)
+    b.sync_with(a)
     assert b.holder.version == 100
 
 
@@ -89,10 +89,10 @@
     assert [row.in_flight for row in peer.members.rows() if row.name == "z"] == [7]
 
 
-def test_silent_box_is_not_offered_but_still_counts_until_it_is_unlisted(clock, three):
+def test_silent_box_is_not_offered_but_delays_edits_until_it_is_unlisted(clock, three):
     a, b, _ = three
     a.members.apply_listing([ListedBox("b", "127.0.0.1:1")])
-    a.meet(b)
+    a.sync_with(b)
     a.edit(1)
     clock.advance(5.0)
     assert names(a) == ["a"]
@@ -103,24 +103,24 @@
     assert a.members.unconfirmed_boxes(1) == ()
 
 
-def test_listed_box_that_was_never_heard_counts_as_missing(clock):
+def test_listed_box_without_a_row_counts_as_unconfirmed(clock):
     peer = Peer("a", clock)
     peer.members.apply_listing([ListedBox("ghost", "127.0.0.1:1")])
     peer.edit(1)
     assert peer.members.unconfirmed_boxes(1) == ("ghost",)
 
 
-def test_box_that_stopped_is_waited_for_no_longer(three):
+def test_stopped_box_does_not_delay_edits(three):
     a, b, _ = three
-    a.meet(b)
+    a.sync_with(b)
     a.edit(1)
     b.members.refresh_own(state=RunState.STOPPED)
-    a.meet(b)
+    a.sync_with(b)
     assert "b" not in names(a)
     assert a.members.unconfirmed_boxes(1) == ()
 
 
-def test_process_replaced_by_a_newer_one_of_its_name_takes_no_more_work(clock):
+def test_process_replaced_by_a_later_start_refuses_requests(clock):
     old = Peer("a", clock)
     gate = WorkGate(old.members, old.holder, clock=clock)
     old.edit(1)
@@ -131,20 +131,20 @@
     assert gate.refusal().reason is Reason.BOX_DRAINED
 
 
-def test_box_cut_off_from_all_stops_and_starts_again_on_contact(clock, three):
+def test_box_without_contact_refuses_requests_until_the_next_sync(clock, three):
     a, b, _ = three
     gate = WorkGate(a.members, a.holder, clock=clock)
     assert gate.refusal().reason is Reason.NO_SETTINGS
     a.edit(1)
-    a.meet(b)
+    a.sync_with(b)
     assert gate.refusal() is None
     clock.advance(10.5)
     assert gate.refusal().reason is Reason.CUT_OFF
-    a.meet(b)
+    a.sync_with(b)
     assert gate.refusal() is None
 
 
-def test_links_are_bounded_and_keep_the_boxes_in_one_piece(clock):
+def test_links_are_bounded_and_connect_all_boxes(clock):
     peers = [Peer(f"box-{n:02}", clock, place=f"hall-{n % 3}") for n in range(18)]
     rows = tuple(peer.members.own for peer in peers)
     graph = {}
@@ -163,6 +163,6 @@
     assert len(reached) == 18
 
 
-def test_seeds_are_used_while_nobody_is_known(clock):
+def test_seeds_are_used_while_no_peer_is_known(clock):
     peer = Peer("a", clock)
     assert peer.members.select_links(4, ["127.0.0.1:5"]) == {"127.0.0.1:5": "127.0.0.1:5"}
