--- a/dunlinnotch/coordination/membership/steering.py
+++ b/dunlinnotch/coordination/membership/steering.py
@@ -1,4 +1,4 @@
-"""Decide which boxes a caller should use."""
+"""Select the boxes that a caller should use."""
 
 from __future__ import annotations
 
@@ -16,18 +16,19 @@
     from dunlinnotch.state.tree import SettingsTree
     from dunlinnotch.types import Seconds
 
-#: Addresses in one answer.
-ADDRESSES = 3
-#: A box with more than this share above the mean load is put last.
-_LOAD_BOUND = 1.25
-#: Calls above the mean that are always let pass.
+#: Largest number of addresses in one answer.
+MAX_ADDRESSES = 3
+#: Factor on the mean load above which a box is put last.
+_LOAD_FACTOR = 1.25
+#: Calls in flight added to that bound, so that small differences do not count.
 _LOAD_SLACK = 4.0
-#: Answers are kept for a time that varies by this share, so that they don't lapse at once.
-_JITTER = 0.2
+#: Largest share by which the lifetime of an answer is shortened at random, so that answers
+#: do not expire together.
+_LIFETIME_JITTER = 0.2
 
 
 class Steering:
-    """Answer callers that ask for addresses.
+    """Answer callers that request addresses of boxes.
 
     Parameters
     ----------
@@ -46,50 +47,50 @@
         ----------
         tree : SettingsTree
         caller : str
-            Any stable name; the same caller gets the same boxes while they
-            are well.
+            Any stable name; the same caller gets the same boxes while they are live and
+            not overloaded.
         place : str
-            The caller's place, or an empty text.
+            The caller's place, or an empty string.
 
         Returns
         -------
         AddressAnswer
             Without addresses if no box may take new work.
         """
-        rows = [row for row in self._membership.live() if _offered(tree, row)]
+        rows = [row for row in self._membership.live() if _accepts_callers(tree, row)]
         ordered = self._order(rows, caller, place)
         entries = tuple(
             AddressEntry(
                 r.name, r.place, r.address, idempotency_prefix(r.name, r.incarnation, r.tick)
             )
-            for r in ordered[:ADDRESSES]
+            for r in ordered[:MAX_ADDRESSES]
         )
-        keep = tree.effective(place or "/").keep_s
-        return AddressAnswer(entries, self._jittered(keep), tree.version)
+        keep_s = tree.effective(place or "/").keep_s
+        return AddressAnswer(entries, self._jittered(keep_s), tree.version)
 
     def _order(self, rows: list[BoxRow], caller: str, place: str) -> list[BoxRow]:
         by_name = {row.name: row for row in rows}
         ranked = [by_name[name] for name in highest_weighted(caller, by_name, len(by_name))]
         bound = self._bound(rows)
         ranked.sort(key=lambda row: (row.in_flight > bound, row.place != place))
-        return _second_elsewhere(ranked)
+        return _with_second_place(ranked)
 
     @staticmethod
     def _bound(rows: list[BoxRow]) -> float:
         mean = sum(row.in_flight for row in rows) / max(1, len(rows))
-        return mean * _LOAD_BOUND + _LOAD_SLACK
+        return mean * _LOAD_FACTOR + _LOAD_SLACK
 
-    def _jittered(self, keep: Seconds) -> Seconds:
-        return round(keep * (1.0 - _JITTER * self._rng.random()), 3)
+    def _jittered(self, keep_s: Seconds) -> Seconds:
+        return round(keep_s * (1.0 - _LIFETIME_JITTER * self._rng.random()), 3)
 
 
-def _offered(tree: SettingsTree, row: BoxRow) -> bool:
+def _accepts_callers(tree: SettingsTree, row: BoxRow) -> bool:
     """Return whether new callers may be sent to a box."""
     states = (row.state, tree.box_state(row.name), tree.place_state(row.place))
     return all(state is RunState.RUNNING for state in states)
 
 
-def _second_elsewhere(ranked: list[BoxRow]) -> list[BoxRow]:
+def _with_second_place(ranked: list[BoxRow]) -> list[BoxRow]:
     """Move the best box of another place to the second position."""
     if len(ranked) < 2:
         return ranked
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -21,19 +21,19 @@
     return steering.answer(tree or SettingsTree(), caller=caller, place=place)
 
 
-def boxes(found):
-    return [entry.box for entry in found.addresses]
+def boxes(address_answer):
+    return [entry.box for entry in address_answer.addresses]
 
 
 ROWS = [box_row(f"box-{n}", place="hall-a" if n < 4 else "hall-b") for n in range(8)]
 
 
-def test_own_place_comes_first_and_the_second_address_is_elsewhere():
+def test_the_callers_place_comes_first_and_the_second_address_is_in_another():
     places = [entry.place for entry in answer(ROWS).addresses]
     assert places == ["hall-a", "hall-b", "hall-a"]
 
 
-def test_caller_stays_put_when_another_box_goes():
+def test_a_caller_keeps_its_first_box_when_another_box_is_removed():
     first = boxes(answer(ROWS))[0]
     others = [row for row in ROWS if row.name != first]
     assert boxes(answer([*others[1:], *[r for r in ROWS if r.name == first]]))[0] == first
@@ -47,7 +47,7 @@
         None,
     ],
 )
-def test_box_that_drains_or_whose_place_is_stopped_is_left_out(change):
+def test_a_draining_box_or_one_of_a_stopped_place_is_not_offered(change):
     rows = [box_row("box-0", state=RunState.DRAINING if change is None else RunState.RUNNING)]
     tree = SettingsTree().apply(Edit("a", 0, "x", (change,), 1)) if change else None
     assert boxes(answer(rows, tree=tree)) == []
@@ -59,13 +59,13 @@
     assert boxes(answer(loaded))[0] != first
 
 
-def test_stem_names_the_box_its_incarnation_and_its_own_time():
+def test_the_prefix_of_keys_names_the_box_its_incarnation_and_its_time():
     row = box_row("box-1", incarnation=77, tick=12.5)
     entry = answer([row]).addresses[0]
     key = parse_idempotency_key(entry.once_stem + "loan-1")
     assert (key.box, key.incarnation, key.issued_ms, key.suffix) == ("box-1", 77, 12500, "loan-1")
 
 
-def test_answers_lapse_at_different_times():
-    kept = {answer(ROWS, caller=f"c{n}").keep_s for n in range(5)}
-    assert all(8.0 <= k <= 10.0 for k in kept)
+def test_answers_expire_at_different_times():
+    lifetimes = {answer(ROWS, caller=f"c{n}").keep_s for n in range(5)}
+    assert all(8.0 <= lifetime <= 10.0 for lifetime in lifetimes)
