--- a/dunlinnotch/coordination/membership/pause_detector.py
+++ b/dunlinnotch/coordination/membership/pause_detector.py
@@ -1,4 +1,4 @@
-"""Tell whether this box has just gone on after it stood still."""
+"""Detect that this box was paused, and delay its work until its view is current again."""
 
 from __future__ import annotations
 
@@ -12,60 +12,61 @@
 
     from dunlinnotch.types import Clock, Seconds
 
-#: A box that did not look after itself for so long stood still, in seconds: ten times its
-#: usual pause, and under a quarter of the age at which its knowledge is too old.
+#: Time between two checks above which the box counts as paused, in seconds.  Well above the
+#: usual interval, and well below the age at which tables are stale.
 PAUSE_THRESHOLD_S = 0.5
-#: A box that goes on waits at most so long for its knowledge to be renewed, in seconds: two
-#: words of each peer.  Then the store or the peers are away, which stops no box.
+#: Time after which a resumed box works by an outdated view, in seconds: an unavailable store
+#: or peers must not stop a box.  Long enough for two heartbeats of each peer.
 CATCH_UP_TIMEOUT_S = 1.0
 
 _log = logging.getLogger(__name__)
 
 
 class PauseDetector:
-    """Judge whether the box may act on what it knew before it stood still.
+    """Detects pauses of the process, such as a suspension of its machine.
 
     Parameters
     ----------
     clock : callable
-        Goes on while the box is suspended.
+        Returns seconds; it must count the time of a suspension.
     outdated : callable
-        Returns whether what the box knows is older than it ever is while the box runs.
+        Returns whether the box's view is older than it ever is in normal operation.
     """
 
     def __init__(self, *, clock: Clock, outdated: Callable[[], bool]) -> None:
         self._clock = clock
         self._outdated = outdated
-        self._looked_at = clock()
-        self._until: Seconds = 0.0
+        self._checked_at = clock()
+        self._catch_up_until: Seconds = 0.0
 
     def check(self) -> bool:
-        """Note that the box looks after itself, which it does many times a second.
+        """Detect a pause since the last check; called many times a second.
 
         Returns
         -------
         bool
-            Whether it has just gone on and should ask its peers what has changed.
+            Whether the box has just resumed with an outdated view, and should request
+            updates from its peers.
         """
         now = self._clock()
-        still = now - self._looked_at
-        self._looked_at = now
-        if still <= PAUSE_THRESHOLD_S:
+        paused = now - self._checked_at
+        self._checked_at = now
+        if paused <= PAUSE_THRESHOLD_S:
             return False
-        self._until = now + CATCH_UP_TIMEOUT_S
+        self._catch_up_until = now + CATCH_UP_TIMEOUT_S
         outdated = self._outdated()
-        event(_log, "stood-still", still_s=round(still, 2), outdated=outdated)
+        event(_log, "stood-still", still_s=round(paused, 2), outdated=outdated)
         return outdated
 
     @property
     def catching_up(self) -> bool:
-        """Whether the box has stood still and does not know yet what has changed.
+        """Whether the box has resumed after a pause and its view is still outdated.
 
         Notes
         -----
-        Requests that came meanwhile are taken before the box looks after itself, so the
-        time since the last look counts too.
+        Requests that arrived during a pause are handled before the next :meth:`check`, so
+        the time since the last check counts too.
         """
         now = self._clock()
-        just_woke = now < self._until or now - self._looked_at > PAUSE_THRESHOLD_S
-        return just_woke and self._outdated()
+        just_resumed = now < self._catch_up_until or now - self._checked_at > PAUSE_THRESHOLD_S
+        return just_resumed and self._outdated()
--- a/tests/test_pause_detector.py
+++ b/tests/test_pause_detector.py
@@ -1,4 +1,4 @@
-"""A box that stood still does nothing by what it knew before, until it knows better."""
+"""Guards that a resumed box does not act on an outdated view."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     return clock, PauseDetector(clock=clock, outdated=lambda: outdated)
 
 
-def test_a_box_that_runs_is_never_catching_up():
+def test_a_running_box_is_never_catching_up():
     clock, detector = make_detector()
     for _ in range(20):
         clock.now += PAUSE_THRESHOLD_S / 2
@@ -32,10 +32,10 @@
         assert not detector.catching_up
 
 
-def test_a_box_that_stood_still_waits_for_news_but_not_for_ever():
+def test_a_resumed_box_waits_for_updates_until_the_catch_up_timeout():
     clock, detector = make_detector()
     clock.now += SUSPENDED_S
-    # Requests are taken before it looks after itself.
+    # Requests are handled before the first check.
     assert detector.catching_up
     assert detector.check()
     assert detector.catching_up
@@ -47,7 +47,7 @@
     assert not detector.catching_up
 
 
-def test_a_box_that_knows_enough_goes_on_at_once():
+def test_a_resumed_box_with_a_current_view_does_not_wait():
     clock, detector = make_detector(outdated=False)
     clock.now += SUSPENDED_S
     assert not detector.catching_up
@@ -56,10 +56,10 @@
 
 @pytest.fixture
 def suspended(monkeypatch):
-    """Run the loop by a clock that a test moves on, as a suspended box finds it on waking."""
-    ahead = [0.0]
-    monkeypatch.setattr(loops, "elapsed", lambda: ahead[0] + _real())
-    return ahead
+    """Run the loop by a clock that a test advances, as after a suspension."""
+    offset = [0.0]
+    monkeypatch.setattr(loops, "elapsed", lambda: offset[0] + _real())
+    return offset
 
 
 _real = loops.elapsed
@@ -71,12 +71,12 @@
         runner.run(test())
 
 
-def test_timers_and_deadlines_count_the_time_of_a_suspension(suspended):
+def test_timers_and_deadlines_include_the_time_of_a_suspension(suspended):
     async def test():
         loop = asyncio.get_running_loop()
-        late = loop.time() + 60
+        deadline = loop.time() + 60
         with pytest.raises(TimeoutError):
-            async with asyncio.timeout_at(late):
+            async with asyncio.timeout_at(deadline):
                 await asyncio.sleep(0)
                 suspended[0] += 61
                 await asyncio.sleep(30)
@@ -84,15 +84,15 @@
     run(test)
 
 
-def test_a_box_that_wakes_sends_nothing_by_an_outdated_list_and_serves_again(suspended, caplog):
-    """A target left while the box was suspended, and may not be sent anything since."""
+def test_a_resumed_box_sends_no_request_by_an_outdated_list_and_then_serves(suspended, caplog):
+    """A target that left during the suspension must receive no request."""
 
     async def test():
         async with stream_world(boxes=2, workers=2) as world:
             box = world.boxes[0]
             await until(lambda: len(box.instances.for_service("loans")) == 2)
             leaving, staying = world.workers
-            # Nobody tells the box anything before it is asked.
+            # The tables are fresh; only the suspension makes them stale.
             assert max(box.mesh.age(table) for table in box.tables.values()) < STALE_S
             suspended[0] += SUSPENDED_S
             assert not box.ready
@@ -113,24 +113,24 @@
     assert reasons[0] == "catching-up"
 
 
-def test_a_box_that_wakes_asks_its_peers_at_once(suspended):
-    """Their next words come within 0.5 s, and callers are refused until then."""
+def test_a_resumed_box_requests_heartbeats_of_its_peers_at_once(suspended):
+    """Requests are refused until they arrive, so the box must not wait for the next ones."""
 
     async def test():
         async with stream_world(boxes=3) as world:
             box = world.boxes[0]
             await until(lambda: len(box.mesh.live()) == 2)
-            asked = []
+            requested = []
             send = box.gossip._gossip_port.send
 
             def watched(messages, to):
                 messages = list(messages)
-                asked.extend(to for m in messages if getattr(m, "reply_requested", False))
+                requested.extend(to for m in messages if getattr(m, "reply_requested", False))
                 send(messages, to)
 
             box.gossip._gossip_port.send = watched
             suspended[0] += SUSPENDED_S
-            await until(lambda: asked)
+            await until(lambda: requested)
             await until(lambda: box.ready)
 
     run(test)
