--- a/dunlinnotch/protocol/relay.py
+++ b/dunlinnotch/protocol/relay.py
@@ -1,4 +1,4 @@
-"""What passes between a box and a target for one request, as typed values."""
+"""Requests, answers and probes between a box and a target, as typed values."""
 
 from __future__ import annotations
 
@@ -22,19 +22,19 @@
     Parameters
     ----------
     request_id : str
-        Given by the caller; answers of targets name it.
+        Set by the caller; answers of targets carry it.
     method, path, host : str
         ``path`` with its query, as received.
     headers : tuple of Header
         As received.
     arrived : float
-        Monotonic seconds at which its head had come.
+        Monotonic seconds at which its head was received.
     deadline : float
         Monotonic seconds at which the caller stops waiting.
     length : int or None
-        Bytes in the body; ``None`` if it comes in chunks.
+        Bytes in the body; ``None`` if it is sent in chunks.
     caller : str
-        The caller's IP number.
+        IP address of the caller.
     """
 
     request_id: str
@@ -49,22 +49,22 @@
 
 
 class Verdict(Enum):
-    """What the head of an answer is to the request that waits for one."""
+    """Classification of an answer's head against the request that waits for it."""
 
     #: The answer to this request.
     MATCHING = auto()
-    #: The answer to another request; it belongs to nobody here.
+    #: The answer to another request; it is dropped.
     UNRELATED = auto()
-    #: The target marked its refusal: this request did not run.
+    #: A refusal that the target marked as such: this request did not run.
     NOT_RUN = auto()
-    #: Another target has the address now; this request did not run.
+    #: Another target uses the address now; this request did not run.
     WRONG_TARGET = auto()
-    #: No answer that a caller may be given.
+    #: An answer that must not be passed to a caller.
     UNUSABLE = auto()
 
 
 class TargetDialect(Protocol):
-    """How targets are spoken to: headers and paths, no decisions."""
+    """Headers of a protocol between boxes and targets; it makes no decisions."""
 
     def request_headers(
         self, request: CallerRequest, *, remaining: Seconds, instance: str
@@ -72,22 +72,22 @@
         """Return the headers of a request passed on with ``remaining`` seconds to run."""
 
     def classify(self, head: AnswerHead, request: CallerRequest) -> Verdict:
-        """Tell what an answer's head is to a request."""
+        """Classify an answer's head against a request."""
 
     def answer_headers(self, head: AnswerHead) -> Sequence[Header]:
-        """Return the headers of an answer that go on to the caller."""
+        """Return the headers of an answer that are passed to the caller."""
 
     def status(self, head: AnswerHead) -> TargetStatus:
-        """Return what a target says of itself beside an answer."""
+        """Return the status of the target that an answer carries."""
 
     def probe_headers(self, address: str) -> Sequence[Header]:
         """Return the headers of a probe."""
 
     def probed_instance(self, head: AnswerHead) -> str | None:
-        """Return which target answered a probe; ``None`` if it was no such answer."""
+        """Return the instance id in the answer to a probe; ``None`` if it has none."""
 
     def refused_probe(self, head: AnswerHead) -> bool:
-        """Return whether a target turned a probe away without saying which one it is."""
+        """Return whether a target refused a probe without stating its instance id."""
 
 
 @dataclass(slots=True)
@@ -97,15 +97,15 @@
     Parameters
     ----------
     instance : str or None
-        Which target answered; ``None`` if there was no usable answer.
+        Id of the target that answered; ``None`` if there was no usable answer.
     healthy : bool
-        Whether the target calls itself well.
+        Whether the target reports itself healthy.
     status : TargetStatus, optional
-        What it said beside; ``None`` if there was no answer.
-    detail : str
+        Status that the answer carried; ``None`` if there was no answer.
+    detail : str, default ""
         Why there was no answer.
     link : object, optional
-        The connection, taken until it is used or released.
+        The connection, reserved until it is used or released.
     """
 
     instance: str | None
@@ -120,15 +120,23 @@
 
     @property
     def complete(self) -> bytes | None:
-        """The body if all of it is held, so that it may be sent again."""
+        """The body if all of it is buffered, so that it can be sent again; else ``None``."""
 
     def parts(self) -> AsyncIterator[bytes]:
-        """Yield the body; raises :class:`~.attempt.BodyCutError` if it is not whole."""
+        """Yield the body; raise :class:`~.attempt.BodyCutError` if it is truncated."""
 
 
 @dataclass(frozen=True, slots=True)
 class NotSent:
-    """No byte of the request reached the target; ``refused`` if nobody listens there."""
+    """No byte of the request reached the target.
+
+    Parameters
+    ----------
+    reason : Reason
+    detail : str
+    refused : bool, default False
+        Whether no process listens at the address.
+    """
 
     reason: Reason
     detail: str
@@ -137,7 +145,14 @@
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """The target said that the request did not run; ``wrong_target`` if it is another target."""
+    """The target reported that the request did not run.
+
+    Parameters
+    ----------
+    status : int
+    wrong_target : bool
+        Whether another target uses the address now.
+    """
 
     status: int
     wrong_target: bool
@@ -145,7 +160,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Broken:
-    """Bytes may have reached the target and no usable answer came."""
+    """Bytes may have reached the target, and no usable answer was received."""
 
     reason: Reason
     detail: str
@@ -153,23 +168,23 @@
 
 
 class RelayAnswer(Protocol):
-    """An answer whose head has come."""
+    """An answer whose head was received."""
 
     head: AnswerHead
 
     async def read_complete(self, max_bytes: int) -> bytes | None:
-        """Read the body if it is at most so long; ``None`` if it is longer."""
+        """Return the complete body, or ``None`` if it is longer than ``max_bytes``."""
 
     def parts(self) -> AsyncIterator[bytes]:
-        """Yield the body (what is left of it)."""
+        """Yield all of the body that :meth:`read_complete` has not returned."""
 
     def close(self) -> None:
-        """Give the connection back if the answer was read whole, else close it."""
+        """Reuse the connection if the answer was read completely, else close it."""
 
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """The head of the answer came."""
+    """The head of the answer was received."""
 
     answer: RelayAnswer
 
@@ -178,16 +193,16 @@
 
 
 class TargetPort(Protocol):
-    """Probes targets and sends them requests."""
+    """Sends probes and requests to targets."""
 
     async def probe(self, address: Address, path: str) -> ProbeResult:
         """Probe a target."""
 
     def release(self, address: Address, probe_result: ProbeResult) -> None:
-        """Give back the connection of a probe that is not used."""
+        """Release the connection of a probe, if it was not used for a request."""
 
     async def is_gone(self, address: Address) -> bool:
-        """Return whether nobody listens at a target's address any more."""
+        """Return whether no process listens at a target's address any more."""
 
     async def attempt(
         self,
@@ -206,11 +221,11 @@
 
 
 class ReplyPort(Protocol):
-    """Where the answer to a caller goes."""
+    """Sends the answer to a caller."""
 
     @property
     def begun(self) -> bool:
-        """Whether a head has gone out."""
+        """Whether a head has been sent."""
 
     def begin(
         self, status: int, headers: Sequence[Header], *, length: int | None, phrase: str = ""
@@ -221,7 +236,7 @@
         """Send a part of the body."""
 
     def finish(self) -> None:
-        """End the answer cleanly."""
+        """Complete the answer."""
 
     def reply(self, status: int, headers: Sequence[Header], body: bytes, phrase: str = "") -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
