--- a/dunlinnotch/protocol/crashes.py
+++ b/dunlinnotch/protocol/crashes.py
@@ -1,4 +1,4 @@
-"""What boxes tell each other, and keep in the store, of requests that end targets."""
+"""Reports of requests whose targets crashed, sent between boxes and stored."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 if TYPE_CHECKING:
     from dunlinnotch.types import Seconds
 
-#: First item of the message; the word of a box has a number there.
+#: First item of the message; a heartbeat has a number there.
 CRASHES_FORMAT = "ended-1"
 _FIELDS = 5
 
 
 class ReportedSpan(NamedTuple):
-    """See :class:`~dunlinnotch.state.crashes.ServingSpan`; in milliseconds."""
+    """A :class:`~dunlinnotch.state.crashes.ServingSpan` in milliseconds."""
 
     began: int
     ended: int
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CrashReport:
-    """Evidence on one request, as it travels.
+    """Crash record of one request, as sent and stored.
 
     Parameters
     ----------
@@ -36,8 +36,8 @@
     answers : int
     answered_ms : int
     targets : dict of str to ReportedSpan
-        See :class:`~dunlinnotch.state.crashes.CrashRecord`.  Between boxes, times are ages
-        in milliseconds, as each box has a clock of its own; in the store they are
+        See :class:`~dunlinnotch.state.crashes.CrashRecord`.  In messages between boxes,
+        times are ages in milliseconds, as clocks of boxes differ; in the store they are
         milliseconds of the store's clock.
     """
 
@@ -47,7 +47,7 @@
     targets: dict[str, ReportedSpan]
 
     def counted_from(self, moment_ms: int) -> CrashReport:
-        """Return each time as the distance to a moment: moments from ages, or the reverse."""
+        """Replace each time by its distance to a moment: ages by moments, or the reverse."""
         spans = {
             target: ReportedSpan(moment_ms - span.began, moment_ms - span.ended)
             for target, span in self.targets.items()
@@ -55,84 +55,89 @@
         return replace(self, answered_ms=moment_ms - self.answered_ms, targets=spans)
 
 
-def as_ages(evidence: CrashRecord, now: Seconds) -> CrashReport:
-    """Return evidence with ages for times.
+def as_ages(record: CrashRecord, now: Seconds) -> CrashReport:
+    """Return a report of a record, with ages.
 
     Parameters
     ----------
-    evidence : CrashRecord
+    record : CrashRecord
     now : float
-        By the clock of whoever holds it.
+        Seconds of the clock that the record's times come from.
     """
     return CrashReport(
-        evidence.request,
-        evidence.answers,
-        _ms(now - evidence.answered_at) if evidence.answers else 0,
+        record.request,
+        record.answers,
+        _to_ms(now - record.answered_at) if record.answers else 0,
         {
-            target: ReportedSpan(_ms(now - span.began), _ms(now - span.ended))
-            for target, span in evidence.targets.items()
+            target: ReportedSpan(_to_ms(now - span.began), _to_ms(now - span.ended))
+            for target, span in record.targets.items()
         },
     )
 
 
-def from_ages(seen: CrashReport, now: Seconds) -> CrashRecord:
-    """Return evidence by the receiver's own clock; nothing was seen in the future."""
+def from_ages(report: CrashReport, now: Seconds) -> CrashRecord:
+    """Return the record of a report with ages, by the receiver's clock.
+
+    Notes
+    -----
+    A negative age counts as 0, so that no crash lies in the future.
+    """
     return CrashRecord(
-        seen.request,
-        seen.answers,
-        _moment(now, seen.answered_ms) if seen.answers else -math.inf,
+        report.request,
+        report.answers,
+        _moment_of_age(now, report.answered_ms) if report.answers else -math.inf,
         {
-            target: ServingSpan(_moment(now, span.began), _moment(now, span.ended))
-            for target, span in seen.targets.items()
+            target: ServingSpan(_moment_of_age(now, span.began), _moment_of_age(now, span.ended))
+            for target, span in report.targets.items()
         },
     )
 
 
-def _ms(seconds: Seconds) -> int:
+def _to_ms(seconds: Seconds) -> int:
     return round(seconds * 1000)
 
 
-def _moment(now: Seconds, age_ms: int) -> Seconds:
+def _moment_of_age(now: Seconds, age_ms: int) -> Seconds:
     return now - max(0, age_ms) / 1000
 
 
-def pack_crashes(seen: CrashReport) -> bytes:
-    """Return evidence as bytes."""
-    fields = [CRASHES_FORMAT, seen.request, seen.answers, seen.answered_ms, seen.targets]
+def pack_crashes(report: CrashReport) -> bytes:
+    """Return a report as bytes."""
+    fields = [CRASHES_FORMAT, report.request, report.answers, report.answered_ms, report.targets]
     packed: bytes = msgpack.packb(fields)
     return packed
 
 
 def unpack_crashes(data: bytes) -> CrashReport:
-    """Return evidence from bytes.
+    """Return a report from bytes.
 
     Raises
     ------
     ProtocolError
-        If they hold anything else.
+        If the bytes hold anything else.
     """
     try:
         return read_crashes(msgpack.unpackb(data))
     except (ValueError, msgpack.UnpackException) as error:
-        msg = f"no evidence on a request: {error}"
+        msg = f"invalid crash report: {error}"
         raise ProtocolError(msg) from None
 
 
 def read_crashes(fields: Any) -> CrashReport:  # noqa: ANN401 - checked here
-    """Return evidence from the fields of a message.
+    """Return a report from the fields of a message.
 
     Raises
     ------
     ProtocolError
-        If they are not of the agreed number and types.
+        If the number or types of the fields are wrong.
     """
     if not isinstance(fields, list) or len(fields) < _FIELDS or fields[0] != CRASHES_FORMAT:
-        msg = f"no evidence of format {CRASHES_FORMAT}: {fields!r:.80}"
+        msg = f"crash report must be a list of format {CRASHES_FORMAT}, got {fields!r:.80}"
         raise ProtocolError(msg)
-    _, request, answers, answered_ms, targets, *_rest = fields
-    whole = isinstance(answers, int) and isinstance(answered_ms, int) and answers >= 0
-    if not isinstance(request, str) or not whole or not _are_spans(targets):
-        msg = f"evidence of the wrong types: {fields!r:.80}"
+    _, request, answers, answered_ms, targets, *_unused = fields
+    has_counts = isinstance(answers, int) and isinstance(answered_ms, int) and answers >= 0
+    if not isinstance(request, str) or not has_counts or not _are_spans(targets):
+        msg = f"crash report has fields of wrong types: {fields!r:.80}"
         raise ProtocolError(msg)
     spans = {target: ReportedSpan(*span) for target, span in targets.items()}
     return CrashReport(request, answers, answered_ms, spans)
