--- a/dunlinnotch/protocol/http.py
+++ b/dunlinnotch/protocol/http.py
@@ -1,4 +1,4 @@
-"""HTTP heads as typed values, and the headers of this project."""
+"""HTTP heads as typed values, and the names of this project's headers."""
 
 from __future__ import annotations
 
@@ -29,9 +29,9 @@
 LOAD = "Dunlinnotch-Load"
 #: Set by targets: running, draining or cold.
 TARGET_STATE = "Dunlinnotch-Target-State"
-#: Set by targets: a text that changes with each start of the target.
+#: Set by targets: a value that differs for each start of the target.
 TARGET_INCARNATION = "Dunlinnotch-Target-Incarnation"
-#: Set by targets on a refusal that positively did not run.
+#: Set by targets on the refusal of a request that certainly did not run.
 REFUSED = "Dunlinnotch-Refused"
 
 #: Headers that belong to one connection (RFC 9110, section 7.6.1).
@@ -49,7 +49,7 @@
         "expect",
     }
 )
-#: Headers that the box sets itself; those of a caller or target are dropped.
+#: Headers that the box sets itself, in lower case; those of a caller or target are dropped.
 RESERVED_REQUEST_HEADERS = frozenset({DEADLINE_MS.lower(), CALL_ID.lower(), ONCE_KEY.lower()})
 RESERVED_ANSWER_HEADERS = frozenset(
     n.lower()
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One request of a caller, checked, without its body.
+    """One validated request of a caller, without its body.
 
     Parameters
     ----------
@@ -82,7 +82,7 @@
         Monotonic seconds.
     idempotency_key : str or None
     length : int or None
-        Bytes in the body; ``None`` if sent in chunks.
+        Bytes in the body; ``None`` if it is sent in chunks.
     """
 
     call_id: str
@@ -97,36 +97,36 @@
     length: int | None = 0
 
 
-#: Statuses with which a target turns a request away, and may ask for rest.
+#: Statuses with which a target refuses a request and may request back-off.
 BACKOFF_STATUSES = frozenset({429, 503})
-_SECONDS = re.compile(r"\d{1,9}(?:\.\d{1,9})?", re.ASCII)
-#: Rest is granted for at most so long, in seconds: a value that no target means would put
-#: it out of use until it starts again.
+_SECONDS_PATTERN = re.compile(r"\d{1,9}(?:\.\d{1,9})?", re.ASCII)
+#: Longest back-off that is granted, in seconds: a mistaken value must not take a target out
+#: of use until its restart.
 _MAX_BACKOFF_S = 3600.0
 
 
-def end_to_end(headers: Iterable[Header], own: frozenset[str]) -> tuple[Header, ...]:
-    """Return the headers that pass through a box.
+def end_to_end(headers: Iterable[Header], reserved: frozenset[str]) -> tuple[Header, ...]:
+    """Return the headers that are passed on by a box.
 
     Parameters
     ----------
     headers : iterable of Header
-    own : frozenset of str
+    reserved : frozenset of str
         Lower-case names that the box sets itself.
     """
     named = list(headers)
-    listed = {
+    hop_by_hop_tokens = {
         token.strip().lower()
         for header in named
         if header.name.lower() == "connection"
         for token in header.value.split(",")
     }
-    dropped = HOP_BY_HOP | own | listed | {"content-length"}
+    dropped = HOP_BY_HOP | reserved | hop_by_hop_tokens | {"content-length"}
     return tuple(header for header in named if header.name.lower() not in dropped)
 
 
 def refusal_headers(result: CallResult) -> tuple[Header, ...]:
-    """Return the headers that tell a caller what became of its call."""
+    """Return the headers that report the result of a call to the caller."""
     headers = [Header(OUTCOME, result.outcome.value)]
     if result.reason is not None:
         headers.append(Header(REASON, result.reason.value))
@@ -135,25 +135,25 @@
     return tuple(headers)
 
 
-def requested_backoff(status: int, stated: str | None) -> Seconds:
-    """Return for how long a target that turns a request away wants nothing more.
+def requested_backoff(status: int, retry_after: str | None) -> Seconds:
+    """Return the back-off that a target requests with a refusal.
 
     Parameters
     ----------
     status : int
-    stated : str or None
-        The value of ``Retry-After``, in seconds; fractions are allowed.
+    retry_after : str or None
+        Value of ``Retry-After``, in seconds; fractions are allowed.
 
     Returns
     -------
     float
-        Seconds, 0 if it asks for none, or for what can't be read.
+        Seconds; 0 if none is requested or the value is invalid.
     """
-    if status not in BACKOFF_STATUSES or stated is None:
+    if status not in BACKOFF_STATUSES or retry_after is None:
         return 0.0
-    if _SECONDS.fullmatch(stated.strip()) is None:
+    if _SECONDS_PATTERN.fullmatch(retry_after.strip()) is None:
         return 0.0
-    return min(_MAX_BACKOFF_S, float(stated))
+    return min(_MAX_BACKOFF_S, float(retry_after))
 
 
 __all__ = [
