--- a/dunlinnotch/protocol/__init__.py
+++ b/dunlinnotch/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Typed messages, headers and codecs; no sockets."""
+"""Messages, headers and codecs as typed values, without sockets."""
--- a/dunlinnotch/protocol/answers.py
+++ b/dunlinnotch/protocol/answers.py
@@ -1,4 +1,4 @@
-"""The answer to a caller that asks which addresses to use, and once-keys."""
+"""Answers to callers that request addresses of boxes, and idempotency keys."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from dunlinnotch._wire import wire
 from dunlinnotch.types import Address, Seconds, Version
 
-#: Where a caller asks for addresses.
+#: Path at which a caller requests addresses.
 ADDRESSES_PATH = "/.dunlinnotch/addresses"
 
 _KEY = re.compile(r"^([A-Za-z0-9_.-]{1,64})~(\d{1,20})~(\d{1,16})~([\x21-\x7d]{1,128})$")
@@ -24,8 +24,8 @@
     box, place : str
     address : str
     once_stem : str
-        Prefix of once-keys that this box will run; the caller appends a part
-        that it never uses twice.
+        Prefix of the idempotency keys that this box accepts; the caller appends a
+        suffix that it uses only once.
     """
 
     box: str
@@ -37,15 +37,15 @@
 @wire
 @dataclass(frozen=True, slots=True)
 class AddressAnswer:
-    """Boxes in the order in which to use them.
+    """Addresses of boxes, in the order of preference.
 
     Parameters
     ----------
     addresses : tuple of AddressEntry
     keep_s : float
-        Seconds for which the caller may keep this answer.
+        Seconds for which the caller may use this answer.
     version : int
-        Settings version that it was made from.
+        Settings version that the answer is based on.
     """
 
     addresses: tuple[AddressEntry, ...]
@@ -55,16 +55,16 @@
 
 @dataclass(frozen=True, slots=True)
 class IdempotencyKey:
-    """A key that names the one box incarnation that may run a request.
+    """Key of a request, which names the one incarnation of a box that may run it.
 
     Parameters
     ----------
     box : str
     incarnation : int
     issued_ms : int
-        The box's own monotonic clock when it or a peer minted the stem.
+        Milliseconds of that box's monotonic clock when the prefix was issued.
     suffix : str
-        The caller's part.
+        Part that the caller appended.
     """
 
     box: str
@@ -74,12 +74,20 @@
 
 
 def idempotency_prefix(box: str, incarnation: int, issued: Seconds) -> str:
-    """Return the stem of once-keys for one incarnation of a box."""
+    """Return the prefix of idempotency keys for one incarnation of a box.
+
+    Parameters
+    ----------
+    box : str
+    incarnation : int
+    issued : float
+        Seconds of the box's monotonic clock.
+    """
     return f"{box}~{incarnation}~{int(issued * 1000)}~"
 
 
 def parse_idempotency_key(text: str) -> IdempotencyKey | None:
-    """Return the parts of a once-key, or None if it has another form."""
+    """Return the parts of an idempotency key, or None if it has another form."""
     match = _KEY.match(text)
     if match is None:
         return None
--- a/dunlinnotch/protocol/attempt.py
+++ b/dunlinnotch/protocol/attempt.py
@@ -1,4 +1,4 @@
-"""What one attempt at one target came to, as values."""
+"""Results of one attempt to send a call to a target, and the ports that it uses."""
 
 from __future__ import annotations
 
@@ -15,18 +15,20 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What a target says of itself on an answer or a probe.
+    """Load and state that a target reports on an answer or a probe.
 
     Parameters
     ----------
     in_flight : int or None
-        Calls in flight there besides the one answered.
+        Calls in flight at the target, without the one answered; ``None`` if not reported.
     leaving : bool
+        Whether the target is draining.
     warming_up : bool
+        Whether the target has just started and should receive fewer calls.
     incarnation : str or None
-        Changes with each start of the target.
+        Differs for each start of the target; ``None`` if not reported.
     backoff : float, default 0.0
-        Seconds for which it wants nothing more from this box.
+        Seconds for which this box must send it no further calls.
     """
 
     in_flight: int | None = None
@@ -46,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The target marked its refusal: the request did not run."""
+    """The target refused the request and marked the refusal: the request did not run."""
 
     mark: str
     report: LoadReport
@@ -54,25 +56,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Broken:
-    """Bytes may have reached the target and no whole head came back."""
+    """Bytes may have reached the target, and no complete head was received."""
 
     reason: Reason
     detail: str
 
 
 class AnswerBody(Protocol):
-    """The body of an answer, read once."""
+    """The body of an answer, which can be read once."""
 
     def chunks(self) -> Iterator[bytes]:
-        """Yield the body; raise :class:`BodyCutError` if it is not whole."""
+        """Yield the body; raise :class:`BodyCutError` if it is truncated."""
 
     def close(self, *, complete: bool) -> None:
-        """Give the connection back if the body was whole, else close it."""
+        """Reuse the connection if the body was complete, else close it."""
 
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """The head of an answer came back."""
+    """The head of an answer was received."""
 
     head: AnswerHead
     body: AnswerBody
@@ -83,14 +85,14 @@
 
 
 class BodyCutError(Exception):
-    """A body ended before its framing said so, or broke its framing."""
+    """A body ended before the length that its framing states, or its framing is invalid."""
 
 
 class RequestBody(Protocol):
     """The body of a caller's request."""
 
     def chunks(self) -> Iterator[bytes]:
-        """Yield the body; raise :class:`BodyCutError` if it is not whole."""
+        """Yield the body; raise :class:`BodyCutError` if it is truncated."""
 
     @property
     def replayable(self) -> bool:
@@ -98,16 +100,16 @@
 
 
 class ReplySink(Protocol):
-    """Where an answer to the caller goes."""
+    """Sends an answer to the caller."""
 
     def begin(self, head: AnswerHead, *, target: Address) -> None:
         """Send the head."""
 
     def send(self, chunk: bytes) -> None:
-        """Send a part of the body; raise :class:`CallerGoneError` if nobody reads it."""
+        """Send a chunk of the body; raise :class:`CallerGoneError` if the caller has gone."""
 
     def finish(self) -> None:
-        """End the body cleanly."""
+        """Complete the body."""
 
 
 class CallerGoneError(Exception):
@@ -115,17 +117,17 @@
 
 
 class CallerWatch(Protocol):
-    """Tells whether the caller of a request is still there."""
+    """Detects whether the caller of a request has disconnected."""
 
     def gone(self) -> bool:
         """Return whether the caller has closed its connection."""
 
     def fileno(self) -> int | None:
-        """Return a descriptor that turns readable when the caller may have gone."""
+        """Return a descriptor that becomes readable when the caller may have disconnected."""
 
 
 class TargetTransport(Protocol):
-    """Carries one request to one target."""
+    """Sends one call to one target."""
 
     def attempt(
         self, call: Call, target: Address, body: RequestBody, watch: CallerWatch, *, fresh: bool
@@ -138,7 +140,7 @@
         target : str
         body : RequestBody
         watch : CallerWatch
-            A caller that goes cancels the attempt.
+            The attempt is cancelled if the caller disconnects.
         fresh : bool
             Whether to open a new connection rather than reuse an idle one.
         """
