--- a/dunlinnotch/protocol/operator.py
+++ b/dunlinnotch/protocol/operator.py
@@ -1,4 +1,4 @@
-"""What the operator port takes and gives, as JSON."""
+"""Requests and responses of the operator port, as JSON."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from dunlinnotch.state.tree import Edit
 from dunlinnotch.types import Address, Seconds, Version
 
-#: Seconds that an edit waits for the boxes' confirmations unless told otherwise.
+#: Default time for which an edit waits for confirmations of all boxes, in seconds.
 EDIT_WAIT_S = 3.0
 
 
 class DrainPhase(StrEnum):
-    """How far a drain has come."""
+    """Phase of a drain."""
 
     NONE = "none"
     ANSWERS = "waiting-for-answers"
@@ -26,13 +26,13 @@
 @wire
 @dataclass(frozen=True, slots=True)
 class DrainStatus:
-    """What a drain waits for.
+    """Progress of a drain.
 
     Parameters
     ----------
     phase : DrainPhase
     answers_s : float
-        Seconds for which some caller may still keep an answer that named the box.
+        Seconds for which callers may still use an address answer that named the box.
     calls : int
         Calls in flight.
     """
@@ -45,7 +45,7 @@
 @wire
 @dataclass(frozen=True, slots=True)
 class EditRequest:
-    """An edit, with the time to wait until it is in force everywhere."""
+    """An edit, with the seconds to wait until it is active on all boxes."""
 
     edit: Edit
     wait_s: Seconds = EDIT_WAIT_S
@@ -54,16 +54,16 @@
 @wire
 @dataclass(frozen=True, slots=True)
 class Status:
-    """What a box says of itself and of the others.
+    """State of a box, and its view of the others.
 
     Parameters
     ----------
     refusing : str or None
-        Why the box takes no new work.
+        Why the box accepts no new calls; ``None`` if it does.
     links : tuple of str
         Peers that this box has opened links to.
     peer_bytes : int
-        Bytes sent to peers since the start.
+        Bytes sent to peers since the box started.
     """
 
     box: str
@@ -80,7 +80,7 @@
 @wire
 @dataclass(frozen=True, slots=True)
 class EffectiveValue:
-    """One effective value and the node that it comes from."""
+    """One effective value and the settings node that it comes from."""
 
     name: str
     value: str
@@ -90,7 +90,7 @@
 @wire
 @dataclass(frozen=True, slots=True)
 class TargetSnapshot:
-    """One target as this box sees it now."""
+    """One box's current view of a target."""
 
     address: Address
     place: str
@@ -105,7 +105,7 @@
 @wire
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """Why a request of an operator can't be served."""
+    """Error response to an operator's request."""
 
     code: str
     detail: str
--- a/dunlinnotch/protocol/outcome.py
+++ b/dunlinnotch/protocol/outcome.py
@@ -1,4 +1,4 @@
-"""What became of a call or of an edit, as values."""
+"""Results of calls and edits, as typed values."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class Outcome(StrEnum):
-    """What a caller may conclude about its request.
+    """Whether a request ran, as reported to its caller.
 
-    ``NOT_RUN`` is said only when no byte of the request reached a target or
-    the target itself marked its refusal.
+    ``NOT_RUN`` is used only if no byte of the request reached a target or the target
+    marked its refusal.
     """
 
     ANSWERED = "answered"
@@ -22,7 +22,7 @@
 
 
 class Reason(StrEnum):
-    """Stable codes that say why a call was refused or is unknown."""
+    """Stable codes of why a call was refused or its outcome is unknown."""
 
     HEAD_INVALID = "head-invalid"
     HEAD_TOO_LARGE = "head-too-large"
@@ -57,20 +57,20 @@
 @wire
 @dataclass(frozen=True, slots=True)
 class CallResult:
-    """The end of one call.
+    """Result of one call.
 
     Parameters
     ----------
     outcome : Outcome
     status : int
-        HTTP status given to the caller; 0 if the answer was cut.
+        HTTP status sent to the caller; 0 if the answer was truncated.
     reason : Reason or None
-        ``None`` for a whole answer of the target.
+        ``None`` for a complete answer of the target.
     detail : str, default ""
     retry_after : float or None
-        Seconds after which the caller may come back.
+        Seconds after which the caller may retry.
     begun : bool, default False
-        Whether an answer's head has already gone to the caller.
+        Whether an answer's head has already been sent to the caller.
     """
 
     outcome: Outcome
@@ -82,7 +82,7 @@
 
 
 class EditStatus(StrEnum):
-    """What became of an operator's edit."""
+    """Status of an operator's edit."""
 
     ACCEPTED = "accepted"
     PENDING = "pending"
@@ -95,18 +95,18 @@
 @wire
 @dataclass(frozen=True, slots=True)
 class EditResult:
-    """The end of one edit.
+    """Result of one edit.
 
     Parameters
     ----------
     status : EditStatus
-        ``ACCEPTED`` once every box that can serve has the edit in force,
-        ``PENDING`` if it is kept for good but some box has not confirmed it.
+        ``ACCEPTED`` once the edit is active on every box that can serve, ``PENDING`` if
+        it is stored but some box has not confirmed it.
     version : int
-        The version made, or the newest one known.
+        Settings version that the edit made, or the newest one known.
     detail : str, default ""
     conflicts : tuple of str
-        Paths changed by someone else.
+        Settings paths changed by a concurrent edit.
     missing : tuple of str
         Boxes that have not confirmed the version.
     """
