--- a/dunlinnotch/protocol/platform.py
+++ b/dunlinnotch/protocol/platform.py
@@ -1,4 +1,4 @@
-"""What the platform offers: table service, object store, list of boxes."""
+"""Services of the platform: table, object store and list of boxes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     ----------
     key : str
     version : int
-        Grows with each write to the row; 0 stands for a row that isn't there.
+        Larger after each write to the row; 0 stands for a row that does not exist.
     value : str
     """
 
@@ -31,7 +31,7 @@
 @wire
 @dataclass(frozen=True, slots=True)
 class Check:
-    """A row must have this version for a transaction to take effect."""
+    """Precondition of a transaction: a row must have this version."""
 
     key: str
     version: int
@@ -40,7 +40,7 @@
 @wire
 @dataclass(frozen=True, slots=True)
 class Put:
-    """A row gets this value if the transaction takes effect."""
+    """Write of a value to a row in a transaction."""
 
     key: str
     value: str
@@ -49,14 +49,14 @@
 @wire
 @dataclass(frozen=True, slots=True)
 class Transaction:
-    """All puts take effect together, or none if a check fails."""
+    """Writes that take effect together, or not at all if a check fails."""
 
     checks: tuple[Check, ...]
     puts: tuple[Put, ...]
 
 
 class TransactResult(StrEnum):
-    """What the table says of a transaction."""
+    """Result of a transaction."""
 
     COMMITTED = "committed"
     CONFLICT = "conflict"
@@ -65,14 +65,15 @@
 @wire
 @dataclass(frozen=True, slots=True)
 class ListedBox:
-    """One entry of the platform's list of boxes, which lags.
+    """One entry of the platform's list of boxes, which may be outdated.
 
     Parameters
     ----------
     name : str
     peer : str
-        Where its peers connect.
+        Address at which it serves peers.
     leaving : bool, default False
+        Whether the box is about to stop.
     """
 
     name: str
@@ -89,26 +90,26 @@
 
 
 class Platform(Protocol):
-    """The platform's service.
+    """Client of the platform's services.
 
-    Every method raises :class:`~dunlinnotch.errors.PlatformUnavailableError`
-    when no usable answer came; a write may then have taken effect.
+    Every method raises :class:`~dunlinnotch.errors.PlatformUnavailableError` if no usable
+    answer was received; a write may nevertheless have taken effect.
     """
 
     def read(self, key: str) -> Row | None:
-        """Return a row, perhaps a stale one."""
+        """Return a row, which may be stale; ``None`` if it does not exist."""
 
     def scan(self, prefix: str, *, after: str, limit: int) -> list[Row]:
         """Return rows whose key starts with ``prefix`` and sorts after ``after``."""
 
     def transact(self, transaction: Transaction) -> TransactResult:
-        """Apply a transaction."""
+        """Run a transaction."""
 
     def get_object(self, name: str) -> bytes | None:
-        """Return an object's bytes."""
+        """Return an object's bytes; ``None`` if it does not exist."""
 
     def put_object(self, name: str, data: bytes) -> None:
         """Store an object."""
 
     def list_boxes(self) -> list[ListedBox]:
-        """Return the boxes that the platform believes to be live."""
+        """Return the boxes that the platform lists as live, which may be outdated."""
--- a/dunlinnotch/protocol/store.py
+++ b/dunlinnotch/protocol/store.py
@@ -1,4 +1,4 @@
-"""What a box needs of the platform's store when it follows tables there."""
+"""Interfaces of the platform's store: following tables, and changing rows."""
 
 from __future__ import annotations
 
@@ -11,23 +11,23 @@
 
 
 class HistoryGone:
-    """The store no longer knows what changed after a version; read all anew."""
+    """The store has no history of changes after a version; the table must be read anew."""
 
     __slots__ = ()
 
 
 class TableSource(Protocol):
-    """A store whose tables can be read whole and followed.
+    """A store whose tables can be read completely and followed.
 
-    Each method raises :class:`~dunlinnotch.errors.PlatformUnavailableError`
-    when no usable answer came in time.
+    Each method raises :class:`~dunlinnotch.errors.PlatformUnavailableError` if no usable
+    answer was received in time.
     """
 
     async def read_table(self, table: str) -> TableDelta:
         """Return all rows of a table."""
 
     async def changes(self, table: str, after: int, wait: Seconds) -> TableDelta | HistoryGone:
-        """Return what changed after a version, waiting for a change that long."""
+        """Return the changes after a version; wait up to ``wait`` seconds for one."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -38,7 +38,7 @@
     ----------
     rows : tuple of TableRow
     now : float
-        When they were all, in seconds of the store's own steady clock.
+        Time at which these were all rows, in seconds of the store's monotonic clock.
     """
 
     rows: tuple[TableRow, ...]
@@ -47,13 +47,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RowsChange:
-    """A change of some rows of one table, done whole or not at all.
+    """An atomic change of some rows of one table.
 
     Parameters
     ----------
     table : str
     expected : dict of str to int
-        Versions that rows must have; 0 for a row that must not be there.
+        Versions that rows must have; 0 for a row that must not exist.
     put : dict of str to bytes
     remove : tuple of str
     """
@@ -65,15 +65,15 @@
 
 
 class RowStore(Protocol):
-    """A store in which a box keeps rows of its own.
+    """A store in which a box reads and writes rows.
 
-    Each method raises :class:`~dunlinnotch.errors.PlatformUnavailableError`
-    when no usable answer came in time; a change may then have been done, or be done
-    later if what it expects still holds.
+    Each method raises :class:`~dunlinnotch.errors.PlatformUnavailableError` if no usable
+    answer was received in time; a change may then have taken effect, or take effect later
+    while the versions that it expects still hold.
     """
 
     async def read_rows(self, table: str) -> RowsRead:
         """Return all rows of a table."""
 
     async def change_rows(self, change: RowsChange) -> bool:
-        """Change rows; return False, and change nothing, if they are not as expected."""
+        """Change rows; return False without a change if a version is not as expected."""
