--- a/dunlinnotch/protocol/peers.py
+++ b/dunlinnotch/protocol/peers.py
@@ -1,4 +1,4 @@
-"""Messages between boxes, carried as a stream of msgpack objects."""
+"""Sync messages between boxes, sent as a stream of msgpack objects."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 @wire
 @dataclass(frozen=True, slots=True)
 class Sync:
-    """One turn of a link: what the sender knows and the receiver may not.
+    """One message of a sync round: rows and edits that the receiver may lack.
 
     Parameters
     ----------
@@ -29,15 +29,15 @@
         Name of the box.
     incarnation : int
     version : int
-        Settings version in force at the sender.
+        Settings version active at the sender.
     table_age : float or None
-        Seconds since the sender last read the table.
+        Seconds since the sender last read the table; ``None`` if it never did.
     rows : tuple of BoxRow
-        Rows that are newer than what the receiver is known to have.
+        Rows newer than those that the receiver is known to have.
     edits : tuple of Edit
         Edits after the receiver's last known version.
     tree : SettingsTree or None
-        The whole tree, if the edits no longer reach back far enough.
+        Complete tree, if edits since that version are not available or too many.
     """
 
     sender: Annotated[str, Field(alias="n")]
@@ -51,14 +51,14 @@
 
 @dataclass(slots=True)
 class LinkState:
-    """What a peer at the other end of one link is known to have.
+    """State that the peer on one link is known to have.
 
     Parameters
     ----------
     rows : dict of str to (int, int)
-        Newest row of each box that the peer sent or was sent.
+        Recency of the newest row of each box that the peer sent or was sent.
     version : int
-        Settings version that the peer last named.
+        Settings version that the peer last reported.
     """
 
     rows: dict[str, tuple[int, int]] = field(default_factory=dict)
@@ -66,13 +66,13 @@
 
 
 class PeerExchange(Protocol):
-    """What a link needs of the box's knowledge of its peers."""
+    """The box's membership, as links to peers use it."""
 
     def next_sync(self, link: LinkState) -> Sync:
-        """Return what the peer on ``link`` may not know yet."""
+        """Return the rows and edits that the peer on ``link`` may lack."""
 
     def apply(self, sync: Sync, link: LinkState) -> None:
-        """Take in what a peer sent."""
+        """Apply the rows and edits that a peer sent."""
 
     def select_links(self, count: int, seeds: Iterable[Address]) -> dict[str, Address]:
         """Return the peers to connect to, by name."""
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,4 +1,4 @@
-"""Links between boxes over real sockets."""
+"""Guards sync over real sockets, and that an invalid message ends only its own link."""
 
 import socket
 import threading
@@ -22,23 +22,23 @@
 
 @pytest.fixture
 def served():
-    known = members("a")
-    server = PeerServer(("127.0.0.1", 0), known)
+    membership = members("a")
+    server = PeerServer(("127.0.0.1", 0), membership)
     server.start()
-    yield known, server
+    yield membership, server
     server.close()
 
 
-def test_two_boxes_meet_over_a_link(served):
-    known, server = served
+def test_two_boxes_exchange_rows_over_a_link(served):
+    membership, server = served
     other = members("b")
     links = PeerLinks(other, seeds=[f"127.0.0.1:{server.port}"], max_links=3, sync_interval_s=0.01)
     links.start()
-    wait_until(lambda: len(known.rows()) == len(other.rows()) == 2, what="rows")
+    wait_until(lambda: len(membership.rows()) == len(other.rows()) == 2, what="rows")
     links.close()
 
 
-ODD_EDIT = Edit("e", 0, "anna", (Change("/", "rank-of-tomorrow", "1"),), 1)
+UNKNOWN_SETTING_EDIT = Edit("e", 0, "anna", (Change("/", "rank-of-tomorrow", "1"),), 1)
 
 
 @pytest.mark.parametrize(
@@ -47,12 +47,12 @@
         b"\xc1",
         msgpack.packb({"n": "b"}),
         msgpack.packb([1, 2]),
-        _codec.pack(Sync("b", 1, 1, None, (), (ODD_EDIT,))),
+        _codec.pack(Sync("b", 1, 1, None, (), (UNKNOWN_SETTING_EDIT,))),
     ],
     ids=["not-msgpack", "fields-missing", "not-a-map", "edit-of-another-release"],
 )
-def test_odd_message_ends_its_link_and_nothing_else(served, data, monkeypatch):
-    known, server = served
+def test_an_invalid_message_ends_its_link_and_nothing_else(served, data, monkeypatch):
+    membership, server = served
     crashed = []
     monkeypatch.setattr(threading, "excepthook", crashed.append)
     with socket.create_connection(("127.0.0.1", server.port), 5.0) as sock:
@@ -62,4 +62,4 @@
         sock.sendall(_codec.pack(members("c").next_sync(LinkState())))
         assert sock.recv(65536)
     assert crashed == []
-    assert {row.name for row in known.rows()} == {"a", "c"}
+    assert {row.name for row in membership.rows()} == {"a", "c"}
