--- a/dunlinnotch/coordination/membership/peer_selector.py
+++ b/dunlinnotch/coordination/membership/peer_selector.py
@@ -81,10 +81,10 @@
         if len(heartbeats) <= MAX_FULL_MESH:
             return []
         selected: dict[str, Heartbeat] = {}
-        for place, heard in _by_place(heartbeats).items():
+        for place, known in _by_place(heartbeats).items():
             if place != self._place:
-                sampled = self._rng.sample(heard, min(_REMOTE_PER_PLACE, len(heard)))
-                sampled += [heartbeat for heartbeat in heard if follows and heartbeat.follows]
+                sampled = self._rng.sample(known, min(_REMOTE_PER_PLACE, len(known)))
+                sampled += [heartbeat for heartbeat in known if follows and heartbeat.follows]
                 selected.update((heartbeat.name, heartbeat) for heartbeat in sampled)
         return list(selected.values())
 
@@ -100,10 +100,10 @@
         if len(live) <= _MAX_INTRODUCE_ALL:
             return list(live)
         chosen: list[Heartbeat] = []
-        for box_place, heard in _by_place(live).items():
+        for box_place, known in _by_place(live).items():
             limit = MAX_LOCAL_PEERS if box_place == place else _REMOTE_INTRODUCED
-            followers = [heartbeat for heartbeat in heard if heartbeat.follows]
-            others = [heartbeat for heartbeat in heard if not heartbeat.follows]
+            followers = [heartbeat for heartbeat in known if heartbeat.follows]
+            others = [heartbeat for heartbeat in known if not heartbeat.follows]
             chosen += (followers + self._rng.sample(others, len(others)))[:limit]
         return chosen
 
--- a/dunlinnotch/protocol/mesh.py
+++ b/dunlinnotch/protocol/mesh.py
@@ -157,11 +157,11 @@
     unpacker.feed(data)
     try:
         messages = [_read_message(fields) for fields in unpacker]
-        whole = unpacker.tell() == len(data)
+        complete = unpacker.tell() == len(data)
     except (ValueError, TypeError, AttributeError, msgpack.UnpackException) as error:
         msg = f"datagram of {len(data)} bytes holds no valid message: {error}"
         raise ProtocolError(msg) from None
-    if not messages or not whole:
+    if not messages or not complete:
         msg = f"datagram of {len(data)} bytes is empty or ends within a message"
         raise ProtocolError(msg)
     return messages
--- a/dunlinnotch/protocol/platform.py
+++ b/dunlinnotch/protocol/platform.py
@@ -73,7 +73,7 @@
     peer : str
         Address at which it serves peers.
     leaving : bool, default False
-        Whether the box is about to stop.
+        Whether the platform lists the box as leaving.
     """
 
     name: str
--- a/tests/test_crash_gossip.py
+++ b/tests/test_crash_gossip.py
@@ -68,8 +68,8 @@
             gossip._mark_synced()
 
     def _make_gossip(self, name):
-        def send(seen, to):
-            for message in seen:
+        def send(reports, to):
+            for message in reports:
                 size = sum(map(len, pack_messages([message])))
                 self.report_bytes += size * len(list(to))
                 self.queue += [(message, peer) for peer in to]
