--- a/dunlinnotch/lab/run.py
+++ b/dunlinnotch/lab/run.py
@@ -1,4 +1,4 @@
-"""Play one day: start everything, send requests at their times, judge what was seen."""
+"""Run one scenario: start the fleet, send requests, inject faults and check the guarantees."""
 
 from __future__ import annotations
 
@@ -21,149 +21,167 @@
     from dunlinnotch.standins.users.caller import AttemptRecord
     from dunlinnotch.types import Seconds
 
-#: Requests under way at once, at most; beyond it the tool itself would be measured.
-_UNDER_WAY_MOST = 1000
-#: Part of the callers that keep their connections.
-_KEEP = 0.6
-_BODY = b"x" * 2000
-#: Longest wait, after the traffic, for troubles to end, in seconds.
-_ENDS_S = 30.0
+#: With more requests in flight, the results would show the limits of the tool itself.
+_MAX_IN_FLIGHT = 1000
+#: Share of the callers that keep their connections open between requests.
+_KEEP_ALIVE_SHARE = 0.6
+_REQUEST_BODY = b"x" * 2000
+#: Longest wait for faults to end after the traffic has ended.
+_FAULT_END_TIMEOUT_S = 30.0
 
 
-class Callers:
-    """Open-loop callers of all kinds of a day.
+class LoadGenerator:
+    """Sends the requests of all kinds of a scenario, without waiting for earlier answers.
 
     Parameters
     ----------
     fleet : Fleet
-    troubles : Troubles
-        Tells how much callers send now.
+    injector : FaultInjector
+        Its load factor scales the request rate.
+
+    Attributes
+    ----------
+    attempts : list of AttemptRecord
+        Attempts of all requests that have ended.
+    request_count : int
+        Requests sent.
+    skipped_count : int
+        Requests not sent because too many were in flight.
+    max_send_delay : float
+        Longest delay with which a request was sent, in seconds.
     """
 
-    def __init__(self, fleet: Fleet, troubles: FaultInjector) -> None:
+    def __init__(self, fleet: Fleet, injector: FaultInjector) -> None:
         self._fleet = fleet
-        self._troubles = troubles
+        self._injector = injector
         self._rng = random.Random(fleet.scenario.seed + 2)
         self._loop = asyncio.get_running_loop()
-        self._numbers = itertools.count(1)
-        self._ids = itertools.count(1)
-        self._idle: list[CallerStandin] = []
+        self._request_numbers = itertools.count(1)
+        self._attempt_ids = itertools.count(1)
+        self._idle_callers: list[CallerStandin] = []
         self._tasks: set[asyncio.Task[None]] = set()
         self.attempts: list[AttemptRecord] = []
-        self.asked = 0
-        self.left_out = 0
-        #: How late the tool sent a request at worst, in seconds.
-        self.late = 0.0
-
-    async def run(self, until: Seconds) -> None:
-        """Send the requests of all kinds until a moment; wait for the last answers."""
-        await asyncio.gather(*(self._run_kind(kind, until) for kind in self._fleet.scenario.kinds))
+        self.request_count = 0
+        self.skipped_count = 0
+        self.max_send_delay = 0.0
+
+    async def run_until(self, until: Seconds) -> None:
+        """Send requests until a time of the event loop's clock, then wait for their answers."""
+        await asyncio.gather(*(self._send_kind(kind, until) for kind in self._fleet.scenario.kinds))
         while self._tasks:
             await asyncio.wait(self._tasks)
-        for caller in self._idle:
+        for caller in self._idle_callers:
             caller.close()
 
-    async def _run_kind(self, kind: KindPlan, until: Seconds) -> None:
-        at = self._loop.time()
+    async def _send_kind(self, kind: KindPlan, until: Seconds) -> None:
+        due_at = self._loop.time()
         while True:
-            at += self._rng.expovariate(kind.per_s * self._troubles.load_factor)
-            if at >= until:
+            due_at += self._rng.expovariate(kind.per_s * self._injector.load_factor)
+            if due_at >= until:
                 return
-            await asyncio.sleep(max(0.0, at - self._loop.time()))
-            self.late = max(self.late, self._loop.time() - at)
-            if len(self._tasks) >= _UNDER_WAY_MOST:
-                self.left_out += 1
+            await asyncio.sleep(max(0.0, due_at - self._loop.time()))
+            self.max_send_delay = max(self.max_send_delay, self._loop.time() - due_at)
+            if len(self._tasks) >= _MAX_IN_FLIGHT:
+                self.skipped_count += 1
                 continue
-            task = self._loop.create_task(self._ask(kind))
+            task = self._loop.create_task(self._send_request(kind))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    async def _ask(self, kind: KindPlan) -> None:
-        caller = self._idle.pop() if self._idle else self._make_caller()
-        number = next(self._numbers)
+    async def _send_request(self, kind: KindPlan) -> None:
+        caller = self._idle_callers.pop() if self._idle_callers else self._make_caller()
+        number = next(self._request_numbers)
         plan = CallerRequestPlan(
             kind=kind.name,
             method="GET" if kind.repeatable else "POST",
             path=f"{path_prefix(kind)}{number}",
-            body=b"" if kind.repeatable else _BODY,
+            body=b"" if kind.repeatable else _REQUEST_BODY,
             repeatable=kind.repeatable,
             deadline=kind.deadline_ms / 1000,
             retries=kind.retries,
         )
-        self.asked += 1
+        self.request_count += 1
         self.attempts += await caller.request(number, plan)
-        self._idle.append(caller)
+        self._idle_callers.append(caller)
 
     def _make_caller(self) -> CallerStandin:
         return CallerStandin(
             self._rng.choice(self._fleet.scenario.places),
             HOST,
             directories=self._fleet.directories,
-            next_id=lambda: f"a{next(self._ids):07x}",
+            next_id=lambda: f"a{next(self._attempt_ids):07x}",
             rng=self._rng,
-            keeps=self._rng.random() < _KEEP,
+            keeps=self._rng.random() < _KEEP_ALIVE_SHARE,
         )
 
 
 async def run_scenario(
-    day: Scenario, directory: Path, *, progress: Callable[[str], None] | None = None
+    scenario: Scenario, directory: Path, *, progress: Callable[[str], None] | None = None
 ) -> ScenarioResult:
-    """Play a day.
+    """Run a scenario and check its guarantees.
 
     Parameters
     ----------
-    day : Day
-    directory : Path
-        Gets settings files and logs; must exist.
+    scenario : Scenario
+    directory : pathlib.Path
+        Receives settings files and logs; must exist.
     progress : callable, optional
-        Is told, once a second, how far the day is.
+        Receives a progress line once a second.
 
     Returns
     -------
-    DayResult
+    ScenarioResult
     """
     loop = asyncio.get_running_loop()
-    async with Fleet(day, directory) as fleet:
-        troubles = FaultInjector(fleet)
-        callers = Callers(fleet, troubles)
-        began = loop.time()
-        causing = [asyncio.ensure_future(troubles.inject(plan)) for plan in day.troubles]
-        telling = asyncio.ensure_future(_tell(callers, began, day, progress))
+    async with Fleet(scenario, directory) as fleet:
+        injector = FaultInjector(fleet)
+        generator = LoadGenerator(fleet, injector)
+        started_at = loop.time()
+        fault_tasks = [asyncio.ensure_future(injector.inject(plan)) for plan in scenario.troubles]
+        progress_task = asyncio.ensure_future(
+            _report_progress(generator, started_at, scenario, progress)
+        )
         try:
-            await callers.run(began + day.length_s)
-            ended = loop.time()
-            if causing:
-                await asyncio.wait(causing, timeout=_ENDS_S)
-            await asyncio.gather(*(task for task in causing if task.done()))
+            await generator.run_until(started_at + scenario.length_s)
+            ended_at = loop.time()
+            if fault_tasks:
+                await asyncio.wait(fault_tasks, timeout=_FAULT_END_TIMEOUT_S)
+            await asyncio.gather(*(task for task in fault_tasks if task.done()))
         finally:
-            for task in (telling, *causing):
+            for task in (progress_task, *fault_tasks):
                 task.cancel()
-            await asyncio.gather(telling, *causing, return_exceptions=True)
-        evidence = Observations(
-            scenario=day,
-            started_at=began,
-            ended_at=ended,
-            attempts=callers.attempts,
+            await asyncio.gather(progress_task, *fault_tasks, return_exceptions=True)
+        observations = Observations(
+            scenario=scenario,
+            started_at=started_at,
+            ended_at=ended_at,
+            attempts=generator.attempts,
             targets=[*fleet.targets, *fleet.terminated],
-            fault_windows=troubles.fault_windows,
+            fault_windows=injector.fault_windows,
             route_changes=fleet.route_changes,
-            crashing=troubles.crashing_attempts,
-            abandoned=troubles.abandoned_attempts,
-            stops=troubles.stops,
+            crashing=injector.crashing_attempts,
+            abandoned=injector.abandoned_attempts,
+            stops=injector.stops,
         )
         return summarise(
-            evidence,
-            find_violations(evidence),
+            observations,
+            find_violations(observations),
             store_calls=fleet.store.calls,
-            tool_late=callers.late,
+            tool_late=generator.max_send_delay,
         )
 
 
-async def _tell(
-    callers: Callers, began: Seconds, day: Scenario, progress: Callable[[str], None] | None
+async def _report_progress(
+    generator: LoadGenerator,
+    started_at: Seconds,
+    scenario: Scenario,
+    progress: Callable[[str], None] | None,
 ) -> None:
     loop = asyncio.get_running_loop()
     while progress is not None:
         await asyncio.sleep(1.0)
-        done = min(day.length_s, loop.time() - began)
-        progress(f"{day.name}: {done:.0f} of {day.length_s:.0f} s, {callers.asked} requests")
+        elapsed_s = min(scenario.length_s, loop.time() - started_at)
+        progress(
+            f"{scenario.name}: {elapsed_s:.0f} of {scenario.length_s:.0f} s, "
+            f"{generator.request_count} requests"
+        )
