--- a/dunlinnotch/lab/plot.py
+++ b/dunlinnotch/lab/plot.py
@@ -1,4 +1,4 @@
-"""Draw what a day came to over its time."""
+"""Plot the result of a scenario over time."""
 
 from __future__ import annotations
 
@@ -11,40 +11,40 @@
 
     from dunlinnotch.lab.report import ScenarioResult
 
-_SIZE_IN = (9.0, 5.0)
+_SIZE_INCHES = (9.0, 5.0)
 _DOTS_PER_INCH = 110
 
 
 def plot(result: ScenarioResult, file: Path) -> None:
-    """Draw requests asked and served a second, and their p99, into an image file.
+    """Plot requests sent and served per second, and their p99 latency, to an image file.
 
     Parameters
     ----------
-    result : DayResult
-    file : Path
-        Its ending names the format, as in ``day.png``.
+    result : ScenarioResult
+    file : pathlib.Path
+        The suffix selects the format, such as ``result.png``.
 
     Raises
     ------
     ConfigError
-        If the plotting library is not installed, or the file can't be written.
+        If matplotlib is not installed, or the file cannot be written.
     """
     try:
         from matplotlib.figure import Figure  # noqa: PLC0415 - an optional extra
     except ImportError:
-        msg = "plots need an optional library: pip install 'dunlinnotch[plot]'"
+        msg = "plots need matplotlib, which is not installed: pip install 'dunlinnotch[plot]'"
         raise ConfigError(msg) from None
-    figure = Figure(figsize=_SIZE_IN, layout="constrained")
-    rate, times = figure.subplots(2, 1, sharex=True)
+    figure = Figure(figsize=_SIZE_INCHES, layout="constrained")
+    rate_axes, latency_axes = figure.subplots(2, 1, sharex=True)
     seconds = range(len(result.asked_by_second))
-    rate.step(seconds, result.asked_by_second, where="post", label="asked")
-    rate.step(seconds, result.served_by_second, where="post", label="served")
-    rate.set_ylabel("requests a second")
-    rate.set_title(f"{result.name}, seed {result.seed}")
-    rate.legend()
-    times.step(seconds, result.p99_by_second, where="post")
-    times.set_ylabel("p99, ms")
-    times.set_xlabel("second of the day")
+    rate_axes.step(seconds, result.asked_by_second, where="post", label="sent")
+    rate_axes.step(seconds, result.served_by_second, where="post", label="served")
+    rate_axes.set_ylabel("requests per second")
+    rate_axes.set_title(f"{result.name}, seed {result.seed}")
+    rate_axes.legend()
+    latency_axes.step(seconds, result.p99_by_second, where="post")
+    latency_axes.set_ylabel("p99 latency, ms")
+    latency_axes.set_xlabel("time, s")
     try:
         figure.savefig(file, dpi=_DOTS_PER_INCH)
     except (OSError, ValueError) as error:
