--- a/dunlinnotch/lab/report.py
+++ b/dunlinnotch/lab/report.py
@@ -1,4 +1,4 @@
-"""What a day came to: a table for people, JSON for comparing."""
+"""The result of a scenario: a table for people, and JSON for comparisons."""
 
 from __future__ import annotations
 
@@ -16,23 +16,32 @@
     from dunlinnotch.lab.checker import Observations, Violation
     from dunlinnotch.standins.users.caller import AttemptRecord
 
-_SECOND_S = 1.0
-#: A tool that is later than this does not play the day that it was given, in seconds.
+_BUCKET_S = 1.0
+#: If the tool sends requests later than this, the results are not meaningful.
 MAX_SEND_DELAY_S = 0.5
 
 
 @dataclass(slots=True)
 class KindResult:
-    """Requests of one kind; times in milliseconds, from the first attempt to success.
+    """The requests of one kind; the field names appear in saved results.
 
     Parameters
     ----------
-    asked, in_time, late, refused, failed : int
-        ``in_time`` are those served within the target latency, from the first attempt on.
+    kind : str
+    asked : int
+        Requests sent.
+    in_time, late : int
+        Requests served within the target latency, and after it.
+    refused : int
+        Requests whose last answer states that they did not run.
+    failed : int
+        Other requests that were not served.
+    p50, p99 : float
+        Latency of the served requests in milliseconds, from the first attempt to success.
     tries : float
-        Attempts of a request, on average.
+        Mean number of attempts of a request.
     held : float
-        Time for which boxes held a request that nobody served, on average over those.
+        Mean total duration of the attempts of a request that was not served, in milliseconds.
     """
 
     kind: str
@@ -49,12 +58,23 @@
 
 @dataclass(slots=True)
 class ScenarioResult:
-    """All that is kept of a day.
+    """The result of a scenario; the field names appear in saved results.
 
     Parameters
     ----------
+    name : str
+    seed : int
+    kinds : list of KindResult
+    findings : list of str
+        Violations of the guarantees, as ``<guarantee>: <subject>: <detail>``.
+    probes, store_calls, attempts : int
+        Probes received by targets, calls received by the store, attempts made by callers.
     tool_late : float
-        How late the tool itself sent a request at worst, in seconds.
+        Longest delay with which the tool sent a request, in seconds.
+    served_by_second, asked_by_second : list of int
+        Requests served and sent, by the second in which they were first sent.
+    p99_by_second : list of float
+        Latency of these requests, in milliseconds.
     """
 
     name: str
@@ -70,101 +90,123 @@
     p99_by_second: list[float] = field(default_factory=list)
 
     def save(self, path: Path) -> None:
-        """Write the result as JSON."""
+        """Write the result to a JSON file."""
         path.write_text(json.dumps(asdict(self), indent=1), encoding="utf-8")
 
 
 def load_result(path: Path) -> ScenarioResult:
-    """Read a result that was saved.
+    """Read a result that `ScenarioResult.save` has written.
 
     Raises
     ------
     ConfigError
+        If the file cannot be read or is not a saved result.
     """
     try:
-        plain = json.loads(path.read_text(encoding="utf-8"))
-        plain["kinds"] = [KindResult(**kind) for kind in plain["kinds"]]
-        return ScenarioResult(**plain)
+        document = json.loads(path.read_text(encoding="utf-8"))
+        document["kinds"] = [KindResult(**kind) for kind in document["kinds"]]
+        return ScenarioResult(**document)
     except (OSError, ValueError, KeyError, TypeError) as error:
-        msg = f"{path}: no result of a day: {error!r}"
+        msg = f"{path}: not a result saved by lab run: {error!r}"
         raise ConfigError(msg) from None
 
 
 def summarise(
-    evidence: Observations, findings: Sequence[Violation], *, store_calls: int, tool_late: float
+    observations: Observations,
+    violations: Sequence[Violation],
+    *,
+    store_calls: int,
+    tool_late: float,
 ) -> ScenarioResult:
-    """Return the result of a day."""
+    """Return the result of a scenario.
+
+    Parameters
+    ----------
+    observations : Observations
+    violations : sequence of Violation
+    store_calls : int
+    tool_late : float
+        Longest delay with which the tool sent a request, in seconds.
+
+    Returns
+    -------
+    ScenarioResult
+    """
     requests: dict[int, list[AttemptRecord]] = {}
-    for attempt in evidence.attempts:
+    for attempt in observations.attempts:
         requests.setdefault(attempt.request, []).append(attempt)
     result = ScenarioResult(
-        name=evidence.scenario.name,
-        seed=evidence.scenario.seed,
+        name=observations.scenario.name,
+        seed=observations.scenario.seed,
         kinds=[],
-        findings=[f"{f.guarantee.value}: {f.subject}: {f.detail}" for f in findings],
-        probes=sum(target.worker.probes for target in evidence.targets),
+        findings=[f"{f.guarantee.value}: {f.subject}: {f.detail}" for f in violations],
+        probes=sum(target.worker.probes for target in observations.targets),
         store_calls=store_calls,
-        attempts=len(evidence.attempts),
+        attempts=len(observations.attempts),
         tool_late=round(tool_late, 3),
     )
-    for kind in evidence.scenario.kinds:
-        own = [r for r in requests.values() if r[0].kind == kind.name]
-        result.kinds.append(_kind_result(kind.name, own, kind.target_latency_ms))
-    _by_second(result, evidence, list(requests.values()))
+    for kind in observations.scenario.kinds:
+        kind_requests = [r for r in requests.values() if r[0].kind == kind.name]
+        result.kinds.append(_kind_result(kind.name, kind_requests, kind.target_latency_ms))
+    _fill_time_series(result, observations, list(requests.values()))
     return result
 
 
-def _kind_result(name: str, requests: list[list[AttemptRecord]], aim_ms: float) -> KindResult:
+def _kind_result(
+    name: str, requests: list[list[AttemptRecord]], target_latency_ms: float
+) -> KindResult:
     result = KindResult(name, asked=len(requests))
-    times: list[float] = []
-    held: list[float] = []
+    latencies_ms: list[float] = []
+    held_ms: list[float] = []
     for attempts in requests:
-        last = attempts[-1]
-        if last.succeeded:
-            took = _took_ms(attempts)
-            times.append(took)
-            result.in_time += took <= aim_ms
-            result.late += took > aim_ms
+        last_attempt = attempts[-1]
+        if last_attempt.succeeded:
+            latency_ms = _latency_ms(attempts)
+            latencies_ms.append(latency_ms)
+            result.in_time += latency_ms <= target_latency_ms
+            result.late += latency_ms > target_latency_ms
             continue
-        held.append(sum(attempt.ended - attempt.sent for attempt in attempts) * 1000)
-        if last.outcome is AttemptOutcome.ANSWERED and last.status in PROMISES:
+        held_ms.append(sum(attempt.ended - attempt.sent for attempt in attempts) * 1000)
+        if last_attempt.outcome is AttemptOutcome.ANSWERED and last_attempt.status in PROMISES:
             result.refused += 1
         else:
             result.failed += 1
-    result.p50, result.p99 = _quantile(times, 0.5), _quantile(times, 0.99)
+    result.p50, result.p99 = _quantile(latencies_ms, 0.5), _quantile(latencies_ms, 0.99)
     result.tries = round(sum(map(len, requests)) / max(1, len(requests)), 2)
-    result.held = round(sum(held) / max(1, len(held)), 1)
+    result.held = round(sum(held_ms) / max(1, len(held_ms)), 1)
     return result
 
 
-def _took_ms(attempts: list[AttemptRecord]) -> float:
+def _latency_ms(attempts: list[AttemptRecord]) -> float:
     return (attempts[-1].ended - attempts[0].sent) * 1000
 
 
-def _quantile(times: list[float], part: float) -> float:
-    ordered = sorted(times)
-    return round(ordered[min(len(ordered) - 1, int(len(ordered) * part))], 1) if ordered else 0.0
+def _quantile(values: list[float], fraction: float) -> float:
+    ordered = sorted(values)
+    return (
+        round(ordered[min(len(ordered) - 1, int(len(ordered) * fraction))], 1) if ordered else 0.0
+    )
 
 
-def _by_second(
-    result: ScenarioResult, evidence: Observations, requests: list[list[AttemptRecord]]
+def _fill_time_series(
+    result: ScenarioResult, observations: Observations, requests: list[list[AttemptRecord]]
 ) -> None:
-    seconds = int((evidence.ended_at - evidence.started_at) / _SECOND_S) + 1
-    times: list[list[float]] = [[] for _ in range(seconds)]
-    asked = [0] * seconds
+    bucket_count = int((observations.ended_at - observations.started_at) / _BUCKET_S) + 1
+    latencies_ms: list[list[float]] = [[] for _ in range(bucket_count)]
+    request_counts = [0] * bucket_count
     for attempts in requests:
-        second = int((attempts[0].sent - evidence.started_at) / _SECOND_S)
-        if 0 <= second < seconds:
-            asked[second] += 1
+        bucket = int((attempts[0].sent - observations.started_at) / _BUCKET_S)
+        if 0 <= bucket < bucket_count:
+            request_counts[bucket] += 1
             if attempts[-1].succeeded:
-                times[second].append(_took_ms(attempts))
-    result.asked_by_second = asked
-    result.served_by_second = [len(t) for t in times]
-    result.p99_by_second = [_quantile(t, 0.99) for t in times]
+                latencies_ms[bucket].append(_latency_ms(attempts))
+    result.asked_by_second = request_counts
+    result.served_by_second = [len(t) for t in latencies_ms]
+    result.p99_by_second = [_quantile(t, 0.99) for t in latencies_ms]
 
 
 def format_result(result: ScenarioResult) -> str:
-    """Return a result as a table."""
+    """Format a result as a table, followed by the violations."""
     lines = [
         f"{result.name} (seed {result.seed}): {result.attempts} attempts, "
         f"{result.probes} probes, {result.store_calls} calls to the store",
@@ -178,39 +220,41 @@
     ]
     if result.tool_late > MAX_SEND_DELAY_S:
         lines.append(
-            f"the tool itself was late by up to {result.tool_late:.1f} s: the machine was too "
-            "busy for times to mean anything; play the day again"
+            f"the tool sent requests up to {result.tool_late:.1f} s late: the machine was too "
+            "busy for times to be meaningful; run the scenario again"
         )
-    lines.append(f"broken promises: {len(result.findings)}")
+    lines.append(f"violations: {len(result.findings)}")
     lines += [f"  {finding}" for finding in result.findings]
     return "\n".join(lines)
 
 
-def format_comparison(first: ScenarioResult, second: ScenarioResult) -> str:
-    """Return two results side by side."""
-    lines = [f"{'kind':<14}{'figure':<9}{first.name:>16}{second.name:>16}{'change':>9}"]
-    others = {kind.kind: kind for kind in second.kinds}
-    for kind in first.kinds:
-        other = others.get(kind.kind)
-        if other is None:
-            lines.append(f"{kind.kind:<14}not in {second.name}")
+def format_comparison(before: ScenarioResult, after: ScenarioResult) -> str:
+    """Format two results side by side, with the change from the first to the second."""
+    lines = [f"{'kind':<14}{'metric':<9}{before.name:>16}{after.name:>16}{'change':>9}"]
+    kinds_after = {kind.kind: kind for kind in after.kinds}
+    for kind_before in before.kinds:
+        kind_after = kinds_after.get(kind_before.kind)
+        if kind_after is None:
+            lines.append(f"{kind_before.kind:<14}not in {after.name}")
             continue
-        for name, one, two in (
-            ("in time", _share(kind), _share(other)),
-            ("p50 ms", kind.p50, other.p50),
-            ("p99 ms", kind.p99, other.p99),
-            ("tries", kind.tries, other.tries),
-            ("held ms", kind.held, other.held),
+        for name, old, new in (
+            ("in time", _in_time_share(kind_before), _in_time_share(kind_after)),
+            ("p50 ms", kind_before.p50, kind_after.p50),
+            ("p99 ms", kind_before.p99, kind_after.p99),
+            ("tries", kind_before.tries, kind_after.tries),
+            ("held ms", kind_before.held, kind_after.held),
         ):
-            lines.append(f"{kind.kind:<14}{name:<9}{one:>16.2f}{two:>16.2f}{two - one:>+9.2f}")
-    for name, one, two in (
-        ("probes", first.probes, second.probes),
-        ("store calls", first.store_calls, second.store_calls),
-        ("broken promises", len(first.findings), len(second.findings)),
+            lines.append(
+                f"{kind_before.kind:<14}{name:<9}{old:>16.2f}{new:>16.2f}{new - old:>+9.2f}"
+            )
+    for name, old, new in (
+        ("probes", before.probes, after.probes),
+        ("store calls", before.store_calls, after.store_calls),
+        ("violations", len(before.findings), len(after.findings)),
     ):
-        lines.append(f"{name:<23}{one:>16}{two:>16}{two - one:>+9}")
+        lines.append(f"{name:<23}{old:>16}{new:>16}{new - old:>+9}")
     return "\n".join(lines)
 
 
-def _share(kind: KindResult) -> float:
+def _in_time_share(kind: KindResult) -> float:
     return kind.in_time / max(1, kind.asked)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -170,9 +170,9 @@
     file = tmp_path / "one.json"
     result().save(file)
     assert load_result(file) == result()
-    assert "broken promises: 1\n  drain: t1: late" in format_result(result())
-    assert "the tool itself" not in format_result(result(tool_late=0.1))
-    assert "the tool itself was late by up to 2.0 s" in format_result(result(tool_late=2.0))
+    assert "violations: 1\n  drain: t1: late" in format_result(result())
+    assert "the tool sent" not in format_result(result(tool_late=0.1))
+    assert "the tool sent requests up to 2.0 s late" in format_result(result(tool_late=2.0))
     better = KindResult("lookup", asked=10, in_time=10, p50=4.0, p99=10.0)
     text = format_comparison(result(), result(name="two", kinds=[better], findings=[], probes=50))
     assert "0.80" in text
@@ -189,7 +189,7 @@
 def test_a_file_that_is_no_result_is_refused(tmp_path):
     file = tmp_path / "one.json"
     file.write_text("{}", encoding="utf-8")
-    with pytest.raises(ConfigError, match="no result of a day"):
+    with pytest.raises(ConfigError, match="not a result saved by lab run"):
         load_result(file)
 
 
@@ -199,7 +199,7 @@
         ("lab run", "none.toml", "none.toml"),
         ("lab run", "--seed x", "--seed x: allowed is a whole number"),
         ("lab soak", "--days 501", "--days 501: allowed is a whole number from 0 to 500"),
-        ("lab compare", "a.json b.json", "a.json: no result of a day"),
+        ("lab compare", "a.json b.json", "a.json: not a result saved by lab run"),
     ],
 )
 def test_bad_input_to_the_tool_is_an_exit_status(command, words, said):
