--- a/tests/test_coverage.py
+++ b/tests/test_coverage.py
@@ -1,4 +1,4 @@
-"""The page of what is judged names what the code has, and leaves no promise out."""
+"""docs/COVERAGE.md has a row for each guarantee, and names only what exists in the code."""
 
 from __future__ import annotations
 
@@ -13,46 +13,50 @@
 from tools.pages import DOCS
 
 PACKAGE = DOCS.parent / "dunlinnotch"
-#: Seeds after which each kind of trouble has been drawn at least once.
-_SEEDS = 200
+#: Enough seeds for each kind of fault to be generated at least once.
+_SEED_COUNT = 200
 
 
-def rows():
-    """Return the rows of the page's table."""
-    found = []
+def read_rows():
+    """Return the rows of the table in docs/COVERAGE.md."""
+    table_rows = []
     for line in (DOCS / "COVERAGE.md").read_text(encoding="utf-8").splitlines():
         cells = [cell.strip() for cell in line.strip("|").split("|")]
         if len(cells) == 5 and cells[0] != "asked" and set(cells[0]) != {"-"}:
-            found.append(cells)
-    return found
+            table_rows.append(cells)
+    return table_rows
 
 
-ROWS = rows()
+ROWS = read_rows()
 
 
-def named(cell):
-    """Return the names that a cell has between backticks."""
+def quoted_names(cell):
+    """Return the names in backticks in a cell."""
     return re.findall(r"`([^`]+)`", cell)
 
 
-def test_each_promise_of_the_referee_has_a_row():
-    assert {name for row in ROWS for name in named(row[3])} == {p.value for p in Guarantee}
+def test_each_guarantee_has_a_row():
+    assert {name for row in ROWS for name in quoted_names(row[3])} == {
+        guarantee.value for guarantee in Guarantee
+    }
 
 
-def test_each_row_that_is_judged_is_played():
-    assert [row[0] for row in ROWS if named(row[3]) and row[2] == "-"] == []
+def test_each_row_with_a_guarantee_names_a_fault():
+    assert [row[0] for row in ROWS if quoted_names(row[3]) and row[2] == "-"] == []
 
 
 @pytest.mark.parametrize("row", ROWS, ids=lambda row: row[0][:40])
-def test_a_row_names_files_troubles_and_mutants_that_are_there(row):
-    files = [name for name in named(row[1]) if name.endswith(".py")]
+def test_a_row_names_existing_files_faults_and_mutants(row):
+    files = [name for name in quoted_names(row[1]) if name.endswith(".py")]
     assert files
     for name in files:
         assert (PACKAGE / name).exists() or (PACKAGE.parent / name).exists(), name
-    assert set(named(row[2])) <= {kind.value for kind in FaultKind}
+    assert set(quoted_names(row[2])) <= {kind.value for kind in FaultKind}
     assert row[4] == "-" or row[4] in {mutant.name for mutant in MUTANTS}
 
 
-def test_each_trouble_is_drawn():
-    drawn = {trouble.kind for seed in range(_SEEDS) for trouble in generate_scenario(seed).troubles}
-    assert drawn == set(FaultKind)
+def test_each_fault_is_generated():
+    kinds = {
+        fault.kind for seed in range(_SEED_COUNT) for fault in generate_scenario(seed).troubles
+    }
+    assert kinds == set(FaultKind)
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -1,4 +1,4 @@
-"""Days of experiments: checked files, drawn days, links, reports, and one day played."""
+"""Scenario files, generated scenarios, link faults, results, and whole scenarios run for real."""
 
 from __future__ import annotations
 
@@ -38,9 +38,9 @@
     read_scenario,
 )
 
-DAYS = Path(__file__).parent / "days"
+SCENARIO_FILES = Path(__file__).parent / "days"
 
-GOOD = """
+SCENARIO_TOML = """
 name = "calm"
 length_s = 2
 boxes = 2
@@ -57,15 +57,15 @@
 """
 
 
-def test_a_day_is_read_from_its_file(tmp_path):
+def test_a_scenario_is_read_from_its_file(tmp_path):
     file = tmp_path / "day.toml"
-    file.write_text(GOOD, encoding="utf-8")
-    day = read_scenario(file)
-    assert (day.name, day.boxes, day.kinds[0].service) == ("calm", 2, "records")
+    file.write_text(SCENARIO_TOML, encoding="utf-8")
+    scenario = read_scenario(file)
+    assert (scenario.name, scenario.boxes, scenario.kinds[0].service) == ("calm", 2, "records")
 
 
 @pytest.mark.parametrize(
-    ("change", "said"),
+    ("change", "expected"),
     [
         (("boxes = 2", "boxes = 31"), "boxes = 31: Input should be less than or equal to 30"),
         (
@@ -86,23 +86,23 @@
         ),
     ],
 )
-def test_a_day_that_can_t_be_played_says_why(tmp_path, change, said):
+def test_an_invalid_scenario_names_the_field_and_value(tmp_path, change, expected):
     file = tmp_path / "day.toml"
-    file.write_text(GOOD.replace(*change), encoding="utf-8")
+    file.write_text(SCENARIO_TOML.replace(*change), encoding="utf-8")
     with pytest.raises(ConfigError) as raised:
         read_scenario(file)
-    assert said in str(raised.value)
+    assert expected in str(raised.value)
 
 
-def test_the_same_seed_draws_the_same_day_and_all_troubles_come_up():
+def test_a_seed_generates_the_same_scenario_and_seeds_cover_all_faults():
     assert generate_scenario(7) == generate_scenario(7)
     assert generate_scenario(7) != generate_scenario(8)
-    drawn = {trouble.kind for seed in range(60) for trouble in generate_scenario(seed).troubles}
-    assert drawn == set(FaultKind)
+    kinds = {fault.kind for seed in range(60) for fault in generate_scenario(seed).troubles}
+    assert kinds == set(FaultKind)
 
 
-def echo_through(test):
-    """Run a test with a link to a server that sends back what it gets."""
+def run_with_link(test):
+    """Run a test with a link to an echo server."""
 
     async def serve(reader, writer):
         while data := await reader.read(100):
@@ -114,9 +114,9 @@
             server = await asyncio.start_server(serve, "127.0.0.1", 0)
             port = server.sockets[0].getsockname()[1]
             link = FaultyLink(f"127.0.0.1:{port}")
-            host, _, own = (await link.start()).rpartition(":")
+            host, _, link_port = (await link.start()).rpartition(":")
             try:
-                await test(link, lambda: asyncio.open_connection(host, int(own)))
+                await test(link, lambda: asyncio.open_connection(host, int(link_port)))
             finally:
                 await link.close()
                 server.close()
@@ -124,17 +124,17 @@
     asyncio.run(bounded())
 
 
-def test_a_link_passes_bytes_to_their_end():
+def test_a_link_forwards_all_bytes_and_the_end_of_the_stream():
     async def test(_link, connect):
         reader, writer = await connect()
         writer.write(b"x" * 200_000)
         writer.write_eof()
         assert len(await reader.read(-1)) == 200_000
 
-    echo_through(test)
+    run_with_link(test)
 
 
-def test_a_silent_link_keeps_bytes_back_and_a_reset_one_breaks():
+def test_a_silent_link_holds_bytes_back_and_a_reset_link_breaks():
     async def test(link, connect):
         reader, writer = await connect()
         writer.write(b"a")
@@ -142,7 +142,7 @@
         link.set_state(LinkState.SILENT)
         writer.write(b"b")
         waiting = asyncio.ensure_future(reader.readexactly(1))
-        _, late_writer = await connect()
+        _, held_writer = await connect()
         done, _ = await asyncio.wait([waiting], timeout=0.05)
         assert not done
         link.set_state(LinkState.PASS)
@@ -150,43 +150,45 @@
         link.set_state(LinkState.RESET)
         with pytest.raises((OSError, asyncio.IncompleteReadError)):
             await reader.readexactly(1)
-        again, _ = await connect()
+        new_reader, _ = await connect()
         with pytest.raises((OSError, asyncio.IncompleteReadError)):
-            await again.readexactly(1)
-        late_writer.close()
+            await new_reader.readexactly(1)
+        held_writer.close()
 
-    echo_through(test)
+    run_with_link(test)
 
 
-def result(**changes):
+def make_result(**changes):
     kind = KindResult("lookup", asked=10, in_time=8, late=1, failed=1, p50=5.0, p99=20.0)
-    plain = ScenarioResult(
+    saved = ScenarioResult(
         "one", 1, [kind], ["drain: t1: late"], 100, 20, 12, 0.0, [9], [10], [20.0]
     )
-    return replace(plain, **changes)
+    return replace(saved, **changes)
 
 
-def test_results_are_shown_saved_and_compared(tmp_path):
+def test_results_are_formatted_saved_and_compared(tmp_path):
     file = tmp_path / "one.json"
-    result().save(file)
-    assert load_result(file) == result()
-    assert "violations: 1\n  drain: t1: late" in format_result(result())
-    assert "the tool sent" not in format_result(result(tool_late=0.1))
-    assert "the tool sent requests up to 2.0 s late" in format_result(result(tool_late=2.0))
+    make_result().save(file)
+    assert load_result(file) == make_result()
+    assert "violations: 1\n  drain: t1: late" in format_result(make_result())
+    assert "the tool sent" not in format_result(make_result(tool_late=0.1))
+    assert "the tool sent requests up to 2.0 s late" in format_result(make_result(tool_late=2.0))
     better = KindResult("lookup", asked=10, in_time=10, p50=4.0, p99=10.0)
-    text = format_comparison(result(), result(name="two", kinds=[better], findings=[], probes=50))
+    text = format_comparison(
+        make_result(), make_result(name="two", kinds=[better], findings=[], probes=50)
+    )
     assert "0.80" in text
     assert "+0.20" in text
     assert "-50" in text
 
 
-def test_a_plot_without_its_library_says_what_to_install(tmp_path, monkeypatch):
+def test_a_plot_without_matplotlib_says_what_to_install(tmp_path, monkeypatch):
     monkeypatch.setitem(sys.modules, "matplotlib.figure", None)
     with pytest.raises(ConfigError, match=r"dunlinnotch\[plot\]"):
-        plot(result(), tmp_path / "one.png")
+        plot(make_result(), tmp_path / "one.png")
 
 
-def test_a_file_that_is_no_result_is_refused(tmp_path):
+def test_loading_a_file_that_is_not_a_result_fails(tmp_path):
     file = tmp_path / "one.json"
     file.write_text("{}", encoding="utf-8")
     with pytest.raises(ConfigError, match="not a result saved by lab run"):
@@ -194,7 +196,7 @@
 
 
 @pytest.mark.parametrize(
-    ("command", "words", "said"),
+    ("command", "words", "expected"),
     [
         ("lab run", "none.toml", "none.toml"),
         ("lab run", "--seed x", "--seed x: allowed is a whole number"),
@@ -202,20 +204,20 @@
         ("lab compare", "a.json b.json", "a.json: not a result saved by lab run"),
     ],
 )
-def test_bad_input_to_the_tool_is_an_exit_status(command, words, said):
+def test_invalid_input_to_a_command_gives_exit_status_invalid(command, words, expected):
     tester = CommandTester(application().find(command))
     assert tester.execute(words) == Exit.INVALID
-    assert said in tester.io.fetch_error()
+    assert expected in tester.io.fetch_error()
 
 
-def broken(seen):
-    """Return the findings that no busy machine can cause."""
-    timed = tuple(f"{promise.value}: " for promise in TIMED_GUARANTEES)
-    return [finding for finding in seen.findings if not finding.startswith(timed)]
+def untimed_violations(result):
+    """Return the violations that an overloaded machine cannot cause."""
+    timed_prefixes = tuple(f"{guarantee.value}: " for guarantee in TIMED_GUARANTEES)
+    return [violation for violation in result.findings if not violation.startswith(timed_prefixes)]
 
 
-def day(*troubles, **changes):
-    plan = Scenario(
+def make_scenario(*faults, **changes):
+    scenario = Scenario(
         length_s=3.0,
         boxes=2,
         places=("hall-a",),
@@ -224,79 +226,79 @@
             KindPlan(name="lookup", service="records", also="uploads", repeatable=True, per_s=20),
             KindPlan(name="payment", service="records", repeatable=False, per_s=10),
         ),
-        troubles=troubles,
+        troubles=faults,
     )
-    return plan.model_copy(update=changes)
+    return scenario.model_copy(update=changes)
 
 
-def test_a_day_with_a_kill_and_a_move_keeps_the_promises(tmp_path):
-    """Real boxes, callers and targets; no figure of time is checked here."""
-    plan = day(
+def test_a_scenario_with_a_box_kill_and_a_settings_move_has_no_violations(tmp_path):
+    """Runs real boxes, callers and targets; guarantees with a time limit are not checked."""
+    scenario = make_scenario(
         FaultPlan(kind=FaultKind.BOX_KILL, at=0.5, for_s=0.2, share=0.5),
         FaultPlan(kind=FaultKind.SETTINGS_MOVE, at=0.2, for_s=1.0),
         FaultPlan(kind=FaultKind.ANSWER_LOST, at=0.0, for_s=2.0, x=0.2, share=0.5),
     )
-    told = []
-    seen = asyncio.run(run_scenario(plan, tmp_path, progress=told.append))
-    assert broken(seen) == []
-    asked = sum(kind.asked for kind in seen.kinds)
-    served = sum(kind.in_time + kind.late for kind in seen.kinds)
-    assert asked > 30
-    assert served > asked / 2
-    assert seen.attempts >= asked
-    assert told
+    progress_lines = []
+    result = asyncio.run(run_scenario(scenario, tmp_path, progress=progress_lines.append))
+    assert untimed_violations(result) == []
+    requests = sum(kind.asked for kind in result.kinds)
+    served = sum(kind.in_time + kind.late for kind in result.kinds)
+    assert requests > 30
+    assert served > requests / 2
+    assert result.attempts >= requests
+    assert progress_lines
     assert (tmp_path / "box-1.log").stat().st_size > 0
 
 
-def test_a_target_that_crashes_amid_a_release_ends_once(tmp_path):
-    plan = day(
+def test_a_target_that_crashes_during_a_release_is_terminated_once(tmp_path):
+    scenario = make_scenario(
         FaultPlan(kind=FaultKind.RELEASE, at=0.1, share=1.0),
         FaultPlan(kind=FaultKind.TARGET_CRASH, at=0.2, for_s=0.0, share=1.0),
         bounds=Bounds(drain=0.2),
     )
-    assert broken(asyncio.run(run_scenario(plan, tmp_path))) == []
+    assert untimed_violations(asyncio.run(run_scenario(scenario, tmp_path))) == []
 
 
-@pytest.mark.parametrize("file", sorted(DAYS.glob("*.toml")), ids=lambda file: file.stem)
-def test_a_day_that_once_broke_a_promise_keeps_it(file, tmp_path):
-    assert broken(asyncio.run(run_scenario(read_scenario(file), tmp_path))) == []
+@pytest.mark.parametrize("file", sorted(SCENARIO_FILES.glob("*.toml")), ids=lambda file: file.stem)
+def test_a_scenario_with_a_past_violation_has_none(file, tmp_path):
+    assert untimed_violations(asyncio.run(run_scenario(read_scenario(file), tmp_path))) == []
 
 
-def processes_with(text):
+def find_processes(text):
     """Return the ids of processes whose environment or command line holds a text."""
-    found = []
+    pids = []
     for process in Path("/proc").glob("[0-9]*"):
         try:
-            told = (process / "environ").read_bytes() + (process / "cmdline").read_bytes()
+            description = (process / "environ").read_bytes() + (process / "cmdline").read_bytes()
         except OSError:
             continue
-        if text.encode() in told:
-            found.append(int(process.name))
-    return found
+        if text.encode() in description:
+            pids.append(int(process.name))
+    return pids
 
 
-def wait_for(condition, *, within=60.0):
-    """Wait until a condition holds."""
-    until = time.monotonic() + within
+def wait_for(condition, *, timeout=60.0):
+    """Wait until a condition holds; fail after ``timeout`` seconds."""
+    until = time.monotonic() + timeout
     while not condition():
         assert time.monotonic() < until
         time.sleep(0.02)
 
 
-def test_a_day_that_a_signal_ends_leaves_no_box_running(tmp_path):
+def test_a_scenario_ended_by_a_signal_leaves_no_box_running(tmp_path):
     file = tmp_path / "day.toml"
-    file.write_text(GOOD.replace("length_s = 2", "length_s = 100"), encoding="utf-8")
+    file.write_text(SCENARIO_TOML.replace("length_s = 2", "length_s = 100"), encoding="utf-8")
     logs = tmp_path / "logs"
     command = [sys.executable, "-m", "dunlinnotch.cli", "lab", "run", str(file)]
     tool = subprocess.Popen([*command, "--logs", str(logs)], stderr=subprocess.DEVNULL)
     settings = str(logs / "box-1.conf")
-    wait_for(lambda: processes_with(settings))
+    wait_for(lambda: find_processes(settings))
     tool.send_signal(signal.SIGTERM)
     assert tool.wait(timeout=60) == 128 + signal.SIGTERM
-    assert processes_with(str(logs / "box-")) == []
+    assert find_processes(str(logs / "box-")) == []
 
 
-def test_a_benchmark_that_a_signal_ends_leaves_nothing_running():
+def test_a_benchmark_ended_by_a_signal_leaves_nothing_running():
     script = (
         "import tempfile, time; from pathlib import Path; from demo.fleet import Fleet\n"
         "with tempfile.TemporaryDirectory() as folder, Fleet(Path(folder)) as fleet:\n"
@@ -306,8 +308,8 @@
     )
     tool = subprocess.Popen([sys.executable, "-c", script], stdout=subprocess.PIPE, text=True)
     faults = tool.stdout.readline().strip()
-    assert processes_with(faults)
+    assert find_processes(faults)
     tool.send_signal(signal.SIGTERM)
     assert tool.wait(timeout=60) == 128 + signal.SIGTERM
     tool.stdout.close()
-    assert processes_with(faults) == []
+    assert find_processes(faults) == []
