--- a/dunlinnotch/lab/checker/common.py
+++ b/dunlinnotch/lab/checker/common.py
@@ -34,7 +34,7 @@
 
 
 class Guarantee(StrEnum):
-    """What the balancer must keep through all faults; the values appear in saved results."""
+    """What the balancer must guarantee; the values appear in saved results."""
 
     #: A caller receives the complete answer, and the one to its own request.
     COMPLETE = "whole-answer"
--- a/dunlinnotch/lab/checker/stops.py
+++ b/dunlinnotch/lab/checker/stops.py
@@ -19,7 +19,7 @@
 _REQUEST_READ_S = 0.2
 _NOT_READY_LIMIT_S = 4.0
 _MIN_SERVED_SHARE = 0.9
-#: With fewer requests after the faults, the share served says nothing.
+#: With fewer requests after the faults, the share served is not meaningful.
 _MIN_REQUESTS = 20
 
 
--- a/dunlinnotch/lab/fleet.py
+++ b/dunlinnotch/lab/fleet.py
@@ -22,7 +22,7 @@
     from dunlinnotch.types import Address, Seconds
 
 HOST = "lab.example"
-_SEED_COUNT = 3
+_SEED_BOX_COUNT = 3
 _MS_PER_S = 1000.0
 #: A leaving target continues to serve for this long after the drain limit of the scenario,
 #: so that the checker can observe late requests.
@@ -101,7 +101,7 @@
                 await self.add_target(service, place)
         seeds = [
             f"{self._network_prefix}.{n}"
-            for n in range(1, min(_SEED_COUNT, self.scenario.boxes) + 1)
+            for n in range(1, min(_SEED_BOX_COUNT, self.scenario.boxes) + 1)
         ]
         for number in range(1, self.scenario.boxes + 1):
             await self._add_box(number, seeds)
@@ -241,7 +241,7 @@
                 self.store.put("servers", instance, target.row)
 
     def expire_rows(self, *, after: Seconds) -> None:
-        """Remove the rows of terminated targets after a delay, in the background."""
+        """Remove, after a delay in the background, the rows that no running target writes."""
         self._background_tasks.add(asyncio.create_task(self._expire_rows(after)))
 
     async def _expire_rows(self, after: Seconds) -> None:
--- a/dunlinnotch/lab/scenario.py
+++ b/dunlinnotch/lab/scenario.py
@@ -80,7 +80,7 @@
     SETTINGS_STORM = "settings-storm"
 
 
-#: Planned operations, refusals and callers' behaviour: a balancer must keep its guarantees
+#: Planned operations, refusals and callers' behaviour: the balancer must keep its guarantees
 #: through them, so they excuse no violation.
 PLANNED_FAULTS = frozenset(
     {
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -58,7 +58,7 @@
 
 
 def test_a_scenario_is_read_from_its_file(tmp_path):
-    file = tmp_path / "day.toml"
+    file = tmp_path / "scenario.toml"
     file.write_text(SCENARIO_TOML, encoding="utf-8")
     scenario = read_scenario(file)
     assert (scenario.name, scenario.boxes, scenario.kinds[0].service) == ("calm", 2, "records")
@@ -87,7 +87,7 @@
     ],
 )
 def test_an_invalid_scenario_names_the_field_and_value(tmp_path, change, expected):
-    file = tmp_path / "day.toml"
+    file = tmp_path / "scenario.toml"
     file.write_text(SCENARIO_TOML.replace(*change), encoding="utf-8")
     with pytest.raises(ConfigError) as raised:
         read_scenario(file)
@@ -286,7 +286,7 @@
 
 
 def test_a_scenario_ended_by_a_signal_leaves_no_box_running(tmp_path):
-    file = tmp_path / "day.toml"
+    file = tmp_path / "scenario.toml"
     file.write_text(SCENARIO_TOML.replace("length_s = 2", "length_s = 100"), encoding="utf-8")
     logs = tmp_path / "logs"
     command = [sys.executable, "-m", "dunlinnotch.cli", "lab", "run", str(file)]
