--- a/dunlinnotch/trace/request.py
+++ b/dunlinnotch/trace/request.py
@@ -5,14 +5,14 @@
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING
 
-from dunlinnotch.trace.beliefs import BoxBeliefs
+from dunlinnotch.trace.box_view import BoxBeliefs
 from dunlinnotch.trace.lines import LogLine, read_lines
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator, Sequence
     from pathlib import Path
 
-    from dunlinnotch.trace.beliefs import Belief
+    from dunlinnotch.trace.box_view import Belief
     from dunlinnotch.types import Seconds
 
 #: What boxes learnt of a request's targets is told from so long before its end, in seconds.
