--- a/dunlinnotch/cli/__main__.py
+++ b/dunlinnotch/cli/__main__.py
@@ -6,7 +6,7 @@
 
 from cleo.application import Application
 
-from dunlinnotch.cli import lab, moves, settings, trace
+from dunlinnotch.cli import lab, operations, settings, trace
 
 COMMANDS = (
     settings.SettingsShow,
@@ -17,16 +17,16 @@
     settings.SettingsImport,
     settings.SettingsHistory,
     settings.Explain,
-    moves.BoxList,
-    moves.BoxDrain,
-    moves.BoxResume,
-    moves.PlaceStop,
-    moves.PlaceStart,
-    moves.TargetDrain,
-    moves.TargetResume,
-    moves.ShowStatus,
-    moves.LogLevel,
-    moves.CheckFile,
+    operations.BoxList,
+    operations.BoxDrain,
+    operations.BoxResume,
+    operations.PlaceStop,
+    operations.PlaceStart,
+    operations.TargetDrain,
+    operations.TargetResume,
+    operations.ShowStatus,
+    operations.LogLevel,
+    operations.CheckFile,
     lab.LabRun,
     lab.LabSoak,
     lab.LabCompare,
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -4,7 +4,7 @@
 import pytest
 from cleo.testers.application_tester import ApplicationTester
 
-from dunlinnotch.cli import moves
+from dunlinnotch.cli import operations
 from dunlinnotch.cli.__main__ import COMMANDS, application
 from dunlinnotch.cli.common import Exit
 from dunlinnotch.standins.platform import PlatformFaults
@@ -136,9 +136,9 @@
         [row("b", RunState.DRAINING, 0), row("a", RunState.DRAINING, 0), running],
     ]
     client = SimpleNamespace(status=lambda: SimpleNamespace(rows=seen.pop(0)))
-    monkeypatch.setattr(moves, "_LOOK_S", 0.0)
-    monkeypatch.setattr(moves.PlaceStop, "client", lambda self: client)
-    monkeypatch.setattr(moves.PlaceStop, "edit", lambda self, changes: Exit.OK)
+    monkeypatch.setattr(operations, "_LOOK_S", 0.0)
+    monkeypatch.setattr(operations.PlaceStop, "client", lambda self: client)
+    monkeypatch.setattr(operations.PlaceStop, "edit", lambda self, changes: Exit.OK)
     tester = ApplicationTester(application())
     assert tester.execute("place stop hall-a --follow") == Exit.OK
     assert tester.io.fetch_output().splitlines() == [
