--- a/dunlinnotch/trace/__init__.py
+++ b/dunlinnotch/trace/__init__.py
@@ -1,5 +1,5 @@
-"""Read the logs of many boxes: the way of one request, and what a box believed.
+"""Analysis of box logs: the route of one request and the view that a box had.
 
-Logs are read line by line, so they may be larger than memory; what is kept is
-what one box can believe at a time.
+Logs are read line by line, so they may be larger than memory.  Only the current view of one
+box is held at a time.
 """
--- a/dunlinnotch/trace/box_view.py
+++ b/dunlinnotch/trace/box_view.py
@@ -1,4 +1,4 @@
-"""What a box believed at a moment, folded from the lines of its log."""
+"""The view that a box had of its environment, reconstructed from its log."""
 
 from __future__ import annotations
 
@@ -9,63 +9,81 @@
     from dunlinnotch.trace.lines import LogLine
     from dunlinnotch.types import Seconds
 
-_TARGET_EVENTS = {
+_TARGET_STATES = {
     "target-listed": "listed",
     "target-leaving": "leaving",
     "target-gone": "gone",
-    "target-lapsed": "lapsed",
+    "target-lapsed": "missing",
     "target-replaced": "replaced",
-    "target-asks-rest": "resting",
+    "target-asks-rest": "backing off",
 }
 _PHASE_EVENTS = frozenset({"started", "serving", "stopping", "stopped"})
 _STORE_EVENTS = frozenset({"store-lost", "store-regained"})
 
 
 @dataclass(frozen=True, slots=True)
-class Belief:
-    """One thing that a box believed, since when, and the line's reason."""
+class ViewEntry:
+    """One item of a box's view.
+
+    Parameters
+    ----------
+    value : str
+    since : float
+        Unix time in seconds, by the box's own clock.
+    reason : str, default ""
+        Reason given by the log line.
+    """
 
     value: str
     since: Seconds
-    why: str = ""
+    reason: str = ""
 
 
 @dataclass(slots=True)
-class BoxBeliefs:
-    """What one box believed up to a line of its log.
+class BoxView:
+    """The view that a box had after a line of its log.
 
     Parameters
     ----------
-    phase, settings : Belief or None
-    store, targets, peers : dict of str to Belief
-        By table, by instance and by box.
+    phase, settings : ViewEntry or None
+        None if the log has not stated it yet.
+    tables : dict of str to ViewEntry
+        Contact with the store, by table.
+    targets : dict of str to ViewEntry
+        By instance name.
+    peers : dict of str to ViewEntry
+        By box name.
     """
 
-    phase: Belief | None = None
-    settings: Belief | None = None
-    store: dict[str, Belief] = field(default_factory=dict)
-    targets: dict[str, Belief] = field(default_factory=dict)
-    peers: dict[str, Belief] = field(default_factory=dict)
+    phase: ViewEntry | None = None
+    settings: ViewEntry | None = None
+    tables: dict[str, ViewEntry] = field(default_factory=dict)
+    targets: dict[str, ViewEntry] = field(default_factory=dict)
+    peers: dict[str, ViewEntry] = field(default_factory=dict)
 
-    def take(self, line: LogLine) -> None:
-        """Take in one line; lines come in the order in which they were written."""
+    def apply(self, line: LogLine) -> None:
+        """Update the view by one line; lines must be applied in the order of the log."""
         event = line.event
         if event == "started":
-            # A new process knows nothing of what the one before believed.
+            # A new process starts without the view of the previous one.
             self.settings = None
-            self.store, self.targets, self.peers = {}, {}, {}
+            self.tables, self.targets, self.peers = {}, {}, {}
         if event in _PHASE_EVENTS:
-            self.phase = Belief(event, line.time)
+            self.phase = ViewEntry(event, line.time)
         elif event == "settings-in-force":
-            before = line.text("before") or "none"
-            self.settings = Belief(f"version {line.text('version')}", line.time, f"after {before}")
+            previous = line.text("before") or "none"
+            self.settings = ViewEntry(
+                f"version {line.text('version')}", line.time, f"after {previous}"
+            )
         elif event in _STORE_EVENTS:
-            self.store[line.text("table")] = Belief(event, line.time, line.text("detail"))
-        elif event in _TARGET_EVENTS:
-            why = line.text("why") or line.text("service")
-            self.targets[line.text("instance")] = Belief(_TARGET_EVENTS[event], line.time, why)
+            self.tables[line.text("table")] = ViewEntry(event, line.time, line.text("detail"))
+        elif event in _TARGET_STATES:
+            reason = line.text("why") or line.text("service")
+            self.targets[line.text("instance")] = ViewEntry(
+                _TARGET_STATES[event], line.time, reason
+            )
         elif event in ("box", "box-silent"):
             state = line.text("state") if event == "box" else "silent"
-            self.peers[line.text("box")] = Belief(state, line.time, line.text("place"))
+            self.peers[line.text("box")] = ViewEntry(state, line.time, line.text("place"))
         elif event == "box-forgotten":
             self.peers.pop(line.text("box"), None)
--- a/dunlinnotch/trace/lines.py
+++ b/dunlinnotch/trace/lines.py
@@ -1,4 +1,4 @@
-"""Lines of boxes' logs, read one by one."""
+"""Reading of box logs, one line at a time."""
 
 from __future__ import annotations
 
@@ -22,12 +22,13 @@
     Parameters
     ----------
     box : str
-        As its ``started`` line says; before that line, the name of the file.
+        Name of the box, from its ``started`` line; before that line, the name of the file
+        without its suffix.
     time : float
-        Seconds since the epoch, by the box's own clock.
+        Unix time in seconds, by the box's own clock.
     event : str
     fields : dict
-        All else that the line says.
+        All fields of the line.
     """
 
     box: str
@@ -36,52 +37,60 @@
     fields: dict[str, Any]
 
     def text(self, name: str) -> str:
-        """Return a field as text; empty if the line has none."""
+        """Return a field as text; empty if the line does not have it."""
         value = self.fields.get(name)
         return "" if value is None else str(value)
 
 
-def read_lines(file: Path, *, having: str = "") -> Iterator[LogLine]:
+def read_lines(file: Path, *, containing: str = "") -> Iterator[LogLine]:
     """Read the events of a log.
 
     Parameters
     ----------
     file : Path
-        What stands before the first brace of a line is left out, and so is a
-        line that is no event: a process may have ended amid one.
-    having : str, default ""
-        Only lines that hold this text are looked at, but for starts.
+    containing : str, default ""
+        Only lines that contain this text are parsed, in addition to ``started`` lines.
+
+    Yields
+    ------
+    LogLine
 
     Raises
     ------
     ConfigError
-        If the file can't be read.
+        If the file cannot be read.
+
+    Notes
+    -----
+    Text before the first brace of a line is ignored.  Lines that hold no event are skipped,
+    since a process may have ended while writing one.
     """
     box = file.stem
     try:
         with file.open(encoding="utf-8", errors="replace") as lines:
             for line in lines:
-                if having not in line and '"started"' not in line:
+                if containing not in line and '"started"' not in line:
                     continue
-                plain = _plain(line)
-                if plain is None:
+                fields = _parse_event(line)
+                if fields is None:
                     continue
-                if plain["event"] == "started":
-                    box = str(plain.get("box", box))
-                yield LogLine(box, float(plain["time"]), str(plain["event"]), plain)
+                if fields["event"] == "started":
+                    box = str(fields.get("box", box))
+                yield LogLine(box, float(fields["time"]), str(fields["event"]), fields)
     except OSError as error:
-        msg = f"{file}: {error}"
+        msg = f"cannot read log {file}: {error}"
         raise ConfigError(msg) from None
 
 
-def _plain(line: str) -> dict[str, Any] | None:
+def _parse_event(line: str) -> dict[str, Any] | None:
+    """Return the fields of a line, or None if it holds no event."""
     start = line.find("{")
     if start < 0:
         return None
     try:
-        plain = json.loads(line[start:])
+        fields = json.loads(line[start:])
     except ValueError:
         return None
-    if not isinstance(plain, dict) or "event" not in plain:
+    if not isinstance(fields, dict) or "event" not in fields:
         return None
-    return plain if isinstance(plain.get("time"), int | float) else None
+    return fields if isinstance(fields.get("time"), int | float) else None
--- a/dunlinnotch/trace/request.py
+++ b/dunlinnotch/trace/request.py
@@ -1,94 +1,101 @@
-"""The way of one request through the boxes, with what each believed."""
+"""The route of one request through the boxes, with the view that each box had."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass, replace
 from typing import TYPE_CHECKING
 
-from dunlinnotch.trace.box_view import BoxBeliefs
+from dunlinnotch.trace.box_view import BoxView
 from dunlinnotch.trace.lines import LogLine, read_lines
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator, Sequence
     from pathlib import Path
 
-    from dunlinnotch.trace.box_view import Belief
+    from dunlinnotch.trace.box_view import ViewEntry
     from dunlinnotch.types import Seconds
 
-#: What boxes learnt of a request's targets is told from so long before its end, in seconds.
-_BEFORE_S = 10.0
-#: And for so long after it.
-_AFTER_S = 2.0
+#: Target events are shown from this many seconds before the end of the request ...
+_EVENTS_BEFORE_S = 10.0
+#: ... until this many seconds after it.
+_EVENTS_AFTER_S = 2.0
 
 
 @dataclass(frozen=True, slots=True)
-class TargetTry:
-    """One target that a request was sent to; times in milliseconds.
+class TargetAttempt:
+    """One attempt of a request at a target.
 
     Parameters
     ----------
-    instance, why : str
-        ``why`` tells how it was chosen.
-    expected : float
-        Expected time, as a multiple of the usual one.
-    ahead : int
-        Requests at the target before it, as far as its box knew.
-    slowness : float
-        How long work took there by its report; 1 is usual.
-    report_age, began, took : float
-        ``began`` counts from the request's arrival.
-    end : str
+    instance : str
+    reason : str
+        Reason code of the target's selection.
+    expected_ratio : float
+        Expected latency ratio: a multiple of the usual latency.
+    queued_ahead : int
+        Requests queued ahead of it at the target, as far as the box knew.
+    latency_ratio : float
+        Latency that the target reported, as a multiple of the usual latency.
+    report_age_ms : float
+        Age of the target's report when the request was sent.
+    sent_after_ms : float
+        Time from the request's arrival until it was sent to the target.
+    took_ms : float
+        Duration of the attempt.
+    result : str
+        Class name of the attempt's end, for example ``Answered``; empty if it did not end.
     status : int, default 0
-        Of an answer that did not go to the caller.
-    rest : float, default 0.0
-        Seconds for which the target wanted nothing more.
+        HTTP status of an answer that was not relayed to the caller; 0 if there was none.
+    backoff : float, default 0.0
+        Back-off that the target requested, in seconds.
     """
 
     instance: str
-    why: str
-    expected: float
-    ahead: int
-    slowness: float
-    report_age: float
-    began: float
-    took: float
-    end: str
+    reason: str
+    expected_ratio: float
+    queued_ahead: int
+    latency_ratio: float
+    report_age_ms: float
+    sent_after_ms: float
+    took_ms: float
+    result: str
     status: int = 0
-    rest: Seconds = 0.0
+    backoff: Seconds = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Passage:
-    """One passage of the request through a box.
+class Hop:
+    """One pass of the request through a box.
 
     Parameters
     ----------
     line : LogLine
-        The box's decision line.
-    tries : tuple of TargetTry
-    beliefs : BoxBeliefs
-        What the box believed when it ended.
+        The box's ``route`` line.
+    attempts : tuple of TargetAttempt
+    view : BoxView
+        View of the box at the end of the request; of the targets, only those tried.
     """
 
     line: LogLine
-    tries: tuple[TargetTry, ...]
-    beliefs: BoxBeliefs
+    attempts: tuple[TargetAttempt, ...]
+    view: BoxView
 
 
 @dataclass(frozen=True, slots=True)
 class Trace:
-    """All that the logs tell of a request.
+    """Everything that the logs contain about a request.
 
     Parameters
     ----------
-    passages : tuple of Passage
-        By time.
-    learnt : tuple of LogLine
-        What all boxes logged of the targets tried, around the request, by time.
+    hops : tuple of Hop
+        Sorted by time.
+    target_events : tuple of LogLine
+        Events of the tried targets at all boxes around the time of the request, sorted by
+        time.
     """
 
-    passages: tuple[Passage, ...]
-    learnt: tuple[LogLine, ...]
+    hops: tuple[Hop, ...]
+    target_events: tuple[LogLine, ...]
 
 
 def trace_request(request: str, files: Sequence[Path]) -> Trace:
@@ -97,99 +104,126 @@
     Parameters
     ----------
     request : str
+        Id of the request.
+    files : sequence of Path
+
+    Returns
+    -------
+    Trace
+        Without hops if no log has the request.
+
+    Raises
+    ------
+    ConfigError
+        If a file cannot be read.
+    """
+    hops = [hop for file in files if _has_request(request, file) for hop in _hops(request, file)]
+    hops.sort(key=lambda hop: hop.line.time)
+    tried = {attempt.instance for hop in hops for attempt in hop.attempts}
+    end_times = [hop.line.time for hop in hops]
+    target_events = list(_target_events(tried, end_times, files)) if tried else []
+    target_events.sort(key=lambda line: line.time)
+    return Trace(tuple(hops), tuple(target_events))
+
+
+def view_at(box: str, time: Seconds, files: Sequence[Path]) -> BoxView:
+    """Return the view that a box had at a time.
+
+    Parameters
+    ----------
+    box : str
+    time : float
+        Unix time in seconds, by the box's own clock.
     files : sequence of Path
 
     Raises
     ------
     ConfigError
-        If a file can't be read.
+        If a file cannot be read.
     """
-    passages = [p for file in files if _holds(request, file) for p in _passages(request, file)]
-    passages.sort(key=lambda passage: passage.line.time)
-    tried = {t.instance for passage in passages for t in passage.tries}
-    ends = [passage.line.time for passage in passages]
-    learnt = list(_learnt(tried, ends, files)) if tried else []
-    learnt.sort(key=lambda line: line.time)
-    return Trace(tuple(passages), tuple(learnt))
-
-
-def beliefs_at(box: str, time: Seconds, files: Sequence[Path]) -> BoxBeliefs:
-    """Return what a box believed at a moment, by its own clock."""
-    beliefs = BoxBeliefs()
+    view = BoxView()
     for file in files:
         for line in read_lines(file):
             if line.box == box and line.time <= time:
-                beliefs.take(line)
-    return beliefs
+                view.apply(line)
+    return view
 
 
-def read_tries(line: LogLine) -> tuple[TargetTry, ...]:
-    """Return the targets that a ``route`` line tells of, in order."""
+def read_attempts(line: LogLine) -> tuple[TargetAttempt, ...]:
+    """Return the attempts that a ``route`` line lists, in order."""
     return tuple(
-        TargetTry(
-            instance=found["target"],
-            why=found["why"],
-            expected=found["expected"],
-            ahead=found["ahead"],
-            slowness=found["slowness"],
-            report_age=found["report_age_ms"],
-            began=found["began_ms"],
-            took=found["took_ms"],
-            end=found["end"],
-            status=found.get("status", 0),
-            rest=found.get("rest_s", 0.0),
+        TargetAttempt(
+            instance=attempt["target"],
+            reason=attempt["why"],
+            expected_ratio=attempt["expected"],
+            queued_ahead=attempt["ahead"],
+            latency_ratio=attempt["slowness"],
+            report_age_ms=attempt["report_age_ms"],
+            sent_after_ms=attempt["began_ms"],
+            took_ms=attempt["took_ms"],
+            result=attempt["end"],
+            status=attempt.get("status", 0),
+            backoff=attempt.get("rest_s", 0.0),
         )
-        for found in line.fields.get("tries", ())
+        for attempt in line.fields.get("tries", ())
     )
 
 
-def _holds(request: str, file: Path) -> bool:
-    """Return whether a log has a decision on the request, without keeping what it believed."""
-    return any(_decides(line, request) for line in read_lines(file, having=request))
+def _has_request(request: str, file: Path) -> bool:
+    """Return whether a log has a ``route`` line of the request.
+
+    This is faster than `_hops`, which has to parse every line.
+    """
+    return any(_is_route_of(line, request) for line in read_lines(file, containing=request))
 
 
-def _decides(line: LogLine, request: str) -> bool:
+def _is_route_of(line: LogLine, request: str) -> bool:
     return line.event == "route" and line.text("request") == request
 
 
-def _passages(request: str, file: Path) -> Iterator[Passage]:
-    beliefs = BoxBeliefs()
+def _hops(request: str, file: Path) -> Iterator[Hop]:
+    view = BoxView()
     for line in read_lines(file):
-        beliefs.take(line)
-        if _decides(line, request):
-            tries = read_tries(line)
-            yield Passage(line, tries, _kept(beliefs, {t.instance for t in tries}))
+        view.apply(line)
+        if _is_route_of(line, request):
+            attempts = read_attempts(line)
+            yield Hop(line, attempts, _copy_view(view, {a.instance for a in attempts}))
 
 
-def _kept(beliefs: BoxBeliefs, instances: set[str]) -> BoxBeliefs:
-    targets = {name: b for name, b in beliefs.targets.items() if name in instances}
-    return replace(beliefs, store=dict(beliefs.store), targets=targets, peers=dict(beliefs.peers))
+def _copy_view(view: BoxView, instances: set[str]) -> BoxView:
+    """Return a copy of the view that contains only the given targets."""
+    targets = {name: entry for name, entry in view.targets.items() if name in instances}
+    return replace(view, tables=dict(view.tables), targets=targets, peers=dict(view.peers))
 
 
-def _learnt(
-    instances: set[str], ends: Sequence[Seconds], files: Sequence[Path]
+def _target_events(
+    instances: set[str], end_times: Sequence[Seconds], files: Sequence[Path]
 ) -> Iterator[LogLine]:
-    first, last = min(ends) - _BEFORE_S, max(ends) + _AFTER_S
+    begin, end = min(end_times) - _EVENTS_BEFORE_S, max(end_times) + _EVENTS_AFTER_S
     for file in files:
-        for line in read_lines(file, having='"target-'):
-            near = first <= line.time <= last
-            if near and line.event.startswith("target-") and line.text("instance") in instances:
+        for line in read_lines(file, containing='"target-'):
+            in_window = begin <= line.time <= end
+            if (
+                in_window
+                and line.event.startswith("target-")
+                and line.text("instance") in instances
+            ):
                 yield line
 
 
-def trace_as_text(trace: Trace) -> Iterator[str]:
-    """Return the lines that show a trace."""
-    for passage in trace.passages:
-        yield from _passage_as_text(passage)
-    if trace.learnt:
-        yield "what boxes learnt of these targets:"
-    for line in trace.learnt:
+def format_trace(trace: Trace) -> Iterator[str]:
+    """Return a trace as lines of text."""
+    for hop in trace.hops:
+        yield from _format_hop(hop)
+    if trace.target_events:
+        yield "events of these targets at all boxes:"
+    for line in trace.target_events:
         why = line.text("why") or line.text("now_there")
         yield f"  {line.time:.3f} {line.box}: {line.event} {line.text('instance')} {why}".rstrip()
 
 
-def _passage_as_text(passage: Passage) -> Iterator[str]:
-    line = passage.line
+def _format_hop(hop: Hop) -> Iterator[str]:
+    line = hop.line
     outcome = " ".join(filter(None, (line.text("outcome"), line.text("reason"))))
     yield (
         f"{line.time:.3f} {line.box}: {line.text('kind') or 'no kind'} -> "
@@ -197,36 +231,48 @@
         f"{line.text('took_ms')} ms"
     )
     if line.text("detail"):
-        yield f"  because {line.text('detail')}"
+        yield f"  detail: {line.text('detail')}"
     yield (
-        f"  by settings version {line.text('version')}, known to be the newest "
+        f"  settings version {line.text('version')}, last confirmed to be the newest "
         f"{line.text('settings_age_s')} s before"
     )
-    for found in passage.tries:
-        said = f", status {found.status}" if found.status else ""
-        said += f", asked for {found.rest:g} s of rest" if found.rest else ""
+    for attempt in hop.attempts:
+        suffix = f", status {attempt.status}" if attempt.status else ""
+        suffix += f", requested {attempt.backoff:g} s of back-off" if attempt.backoff else ""
         yield (
-            f"  at {found.began:.1f} ms to {found.instance} ({found.why}, expected "
-            f"{found.expected:g} times the usual, report {found.report_age:g} ms old): "
-            f"{found.end or 'no end'} after {found.took:.1f} ms{said}"
+            f"  at {attempt.sent_after_ms:.1f} ms to {attempt.instance} ({attempt.reason}, "
+            f"expected {attempt.expected_ratio:g} times the usual latency, report "
+            f"{attempt.report_age_ms:g} ms old): "
+            f"{attempt.result or 'no result'} after {attempt.took_ms:.1f} ms{suffix}"
         )
-    yield from beliefs_as_text(passage.beliefs, line.time, indent="  ")
+    yield from format_view(hop.view, line.time, indent="  ")
 
 
-def beliefs_as_text(beliefs: BoxBeliefs, now: Seconds, *, indent: str = "") -> Iterator[str]:
-    """Return the lines that show what a box believed at a moment."""
-    single = {"phase": beliefs.phase, "settings": beliefs.settings}
-    yield from _as_text(((name, b) for name, b in single.items() if b), now, indent)
+def format_view(view: BoxView, now: Seconds, *, indent: str = "") -> Iterator[str]:
+    """Return a box's view as lines of text.
+
+    Parameters
+    ----------
+    view : BoxView
+    now : float
+        Unix time in seconds from which the age of each entry is computed.
+    indent : str, default ""
+        Put before each line.
+    """
+    single = {"phase": view.phase, "settings": view.settings}
+    yield from _format_entries(((name, e) for name, e in single.items() if e), now, indent)
     for title, group in (
-        ("table", beliefs.store),
-        ("target", beliefs.targets),
-        ("box", beliefs.peers),
+        ("table", view.tables),
+        ("target", view.targets),
+        ("box", view.peers),
     ):
-        named = ((f"{title} {name}", belief) for name, belief in sorted(group.items()))
-        yield from _as_text(named, now, indent)
+        titled = ((f"{title} {name}", entry) for name, entry in sorted(group.items()))
+        yield from _format_entries(titled, now, indent)
 
 
-def _as_text(beliefs: Iterable[tuple[str, Belief]], now: Seconds, indent: str) -> Iterator[str]:
-    for name, belief in beliefs:
-        why = f" ({belief.why})" if belief.why else ""
-        yield f"{indent}believed {name}: {belief.value} for {now - belief.since:.2f} s{why}"
+def _format_entries(
+    entries: Iterable[tuple[str, ViewEntry]], now: Seconds, indent: str
+) -> Iterator[str]:
+    for name, entry in entries:
+        reason = f" ({entry.reason})" if entry.reason else ""
+        yield f"{indent}view: {name}: {entry.value} for {now - entry.since:.2f} s{reason}"
--- a/dunlinnotch/trace/summary.py
+++ b/dunlinnotch/trace/summary.py
@@ -1,4 +1,4 @@
-"""How a stretch of time went: how targets were chosen, and what each kind lost to what."""
+"""Summary of a period: results of requests by kind, and how targets were selected."""
 
 from __future__ import annotations
 
@@ -9,58 +9,65 @@
 from typing import TYPE_CHECKING
 
 from dunlinnotch.trace.lines import read_lines
-from dunlinnotch.trace.request import read_tries
+from dunlinnotch.trace.request import read_attempts
 
 if TYPE_CHECKING:
     from collections.abc import Iterable, Iterator, Sequence
     from pathlib import Path
 
     from dunlinnotch.trace.lines import LogLine
-    from dunlinnotch.trace.request import TargetTry
+    from dunlinnotch.trace.request import TargetAttempt
     from dunlinnotch.types import Seconds
 
-#: Quantiles that are shown of ages, waits and expected times.
+#: Quantiles shown of each list of values.
 _QUANTILES = (0.5, 0.9)
 
 
-class Fate(StrEnum):
-    """What came of a request at a box, by when the box answered it."""
+class RequestResult(StrEnum):
+    """Result of a request at a box, with the part that caused a late answer."""
 
     IN_TIME = "in-time"
-    #: The last target alone was fast enough; the time went before it was asked.
-    LATE_HERE = "late-here"
-    #: The last target alone took longer than the target latency.
+    #: The last attempt met the target latency; the time was lost before it was sent.
+    LATE_AT_BOX = "late-here"
+    #: The last attempt alone exceeded the target latency.
     LATE_AT_TARGET = "late-at-target"
+    #: The request did not run.
     REFUSED = "refused"
+    #: The request may have run, but was not answered.
     LOST = "lost"
     CALLER_GONE = "caller-gone"
 
 
 @dataclass(slots=True)
-class ChoiceSummary:
-    """The tries of one kind that were chosen in one way; times in milliseconds.
+class SelectionSummary:
+    """The attempts of one kind whose targets were selected for the same reason.
 
     Parameters
     ----------
-    tries : int
-    ages, waits, expected, took : list of float
-        Age of the report, time from the request's arrival until it was sent,
-        expected time as a multiple of the usual one, and time at the target.
+    attempts : int
+    report_ages_ms : list of float
+        Ages of the targets' reports.
+    delays_ms : list of float
+        Times from the request's arrival until it was sent to the target.
+    expected_ratios : list of float
+        Expected latency ratios.
+    durations_ms : list of float
+        Durations of the attempts.
     """
 
-    tries: int = 0
-    ages: list[float] = field(default_factory=list)
-    waits: list[float] = field(default_factory=list)
-    expected: list[float] = field(default_factory=list)
-    took: list[float] = field(default_factory=list)
+    attempts: int = 0
+    report_ages_ms: list[float] = field(default_factory=list)
+    delays_ms: list[float] = field(default_factory=list)
+    expected_ratios: list[float] = field(default_factory=list)
+    durations_ms: list[float] = field(default_factory=list)
 
-    def take(self, found: TargetTry) -> None:
-        """Count one try."""
-        self.tries += 1
-        self.ages.append(found.report_age)
-        self.waits.append(found.began)
-        self.expected.append(found.expected)
-        self.took.append(found.took)
+    def add(self, attempt: TargetAttempt) -> None:
+        """Add one attempt."""
+        self.attempts += 1
+        self.report_ages_ms.append(attempt.report_age_ms)
+        self.delays_ms.append(attempt.sent_after_ms)
+        self.expected_ratios.append(attempt.expected_ratio)
+        self.durations_ms.append(attempt.took_ms)
 
 
 @dataclass(slots=True)
@@ -70,38 +77,38 @@
     Parameters
     ----------
     requests : int
-    fates : Counter of Fate
+    results : Counter of RequestResult
     reasons : Counter of str
-        Why requests were refused or lost.
-    choices : dict of str to ChoiceSummary
-        By how the target was chosen.
+        Reason codes of the requests that were refused or lost.
+    selections : dict of str to SelectionSummary
+        By the reason for which the target was selected.
     """
 
     requests: int = 0
-    fates: Counter[Fate] = field(default_factory=Counter)
+    results: Counter[RequestResult] = field(default_factory=Counter)
     reasons: Counter[str] = field(default_factory=Counter)
-    choices: dict[str, ChoiceSummary] = field(default_factory=dict)
+    selections: dict[str, SelectionSummary] = field(default_factory=dict)
 
-    def take(self, line: LogLine) -> None:
-        """Count one request by its decision line."""
-        tries = read_tries(line)
-        fate = fate_of(line, tries)
+    def add(self, line: LogLine) -> None:
+        """Add the request of one ``route`` line."""
+        attempts = read_attempts(line)
+        result = classify_request(line, attempts)
         self.requests += 1
-        self.fates[fate] += 1
-        if fate in (Fate.REFUSED, Fate.LOST):
+        self.results[result] += 1
+        if result in (RequestResult.REFUSED, RequestResult.LOST):
             self.reasons[line.text("reason")] += 1
-        for found in tries:
-            self.choices.setdefault(found.why, ChoiceSummary()).take(found)
+        for attempt in attempts:
+            self.selections.setdefault(attempt.reason, SelectionSummary()).add(attempt)
 
 
 @dataclass(frozen=True, slots=True)
-class Slice:
-    """A stretch of time and what was asked in it, by kind.
+class TimeSlice:
+    """A period and the requests that arrived in it, by kind.
 
     Parameters
     ----------
     begin, end : float
-        Seconds, as in the logs.
+        Unix time in seconds; ``end`` is exclusive.
     kinds : dict of str to KindSummary
     """
 
@@ -110,26 +117,30 @@
     kinds: dict[str, KindSummary] = field(default_factory=dict)
 
 
-def fate_of(line: LogLine, tries: Sequence[TargetTry]) -> Fate:
-    """Return what came of a request.
+def classify_request(line: LogLine, attempts: Sequence[TargetAttempt]) -> RequestResult:
+    """Return the result of a request.
 
     Parameters
     ----------
     line : LogLine
         A ``route`` line.
-    tries : sequence of TargetTry
-        Those of the line.
+    attempts : sequence of TargetAttempt
+        The attempts of that line.
     """
     if line.text("reason") == "caller-gone":
-        return Fate.CALLER_GONE
+        return RequestResult.CALLER_GONE
     if line.text("outcome") == "not-run":
-        return Fate.REFUSED
+        return RequestResult.REFUSED
     if line.text("outcome") != "answered":
-        return Fate.LOST
-    aim = float(line.fields.get("target_latency_ms") or math.inf)
-    if float(line.fields["took_ms"]) <= aim:
-        return Fate.IN_TIME
-    return Fate.LATE_AT_TARGET if tries and tries[-1].took > aim else Fate.LATE_HERE
+        return RequestResult.LOST
+    target_latency_ms = float(line.fields.get("target_latency_ms") or math.inf)
+    if float(line.fields["took_ms"]) <= target_latency_ms:
+        return RequestResult.IN_TIME
+    return (
+        RequestResult.LATE_AT_TARGET
+        if attempts and attempts[-1].took_ms > target_latency_ms
+        else RequestResult.LATE_AT_BOX
+    )
 
 
 def summarise(
@@ -137,74 +148,79 @@
     *,
     begin: Seconds = -math.inf,
     end: Seconds = math.inf,
-    every: Seconds | None = None,
-) -> list[Slice]:
-    """Sum up the decisions in logs, by the time at which each request came.
+    interval: Seconds | None = None,
+) -> list[TimeSlice]:
+    """Summarise the requests in logs by the time at which they arrived.
 
     Parameters
     ----------
     files : sequence of Path
     begin, end : float, optional
-        Only requests that came in this time, in seconds as in the logs.
-    every : float, optional
-        Length of the slices, in seconds; all in one if left out.
+        Only requests that arrived at or after ``begin`` and before ``end``, as Unix time in
+        seconds.
+    interval : float, optional
+        Length of each slice in seconds; by default there is one slice.
 
     Returns
     -------
-    list of Slice
-        By time; slices without a request are left out.
+    list of TimeSlice
+        Sorted by time; slices without requests are omitted.
 
     Raises
     ------
     ConfigError
-        If a file can't be read.
+        If a file cannot be read.
     """
-    slices: dict[int, Slice] = {}
-    for came, line in _decisions(files):
-        if not begin <= came < end:
+    slices: dict[int, TimeSlice] = {}
+    for arrived, line in _routes(files):
+        if not begin <= arrived < end:
             continue
-        number = 0 if every is None else math.floor(came / every)
-        found = slices.get(number)
-        if found is None:
-            bounds = (begin, end) if every is None else (number * every, (number + 1) * every)
-            found = slices[number] = Slice(*bounds)
-        found.kinds.setdefault(line.text("kind") or "no kind", KindSummary()).take(line)
+        number = 0 if interval is None else math.floor(arrived / interval)
+        time_slice = slices.get(number)
+        if time_slice is None:
+            bounds = (
+                (begin, end) if interval is None else (number * interval, (number + 1) * interval)
+            )
+            time_slice = slices[number] = TimeSlice(*bounds)
+        time_slice.kinds.setdefault(line.text("kind") or "no kind", KindSummary()).add(line)
     return [slices[number] for number in sorted(slices)]
 
 
-def _decisions(files: Sequence[Path]) -> Iterator[tuple[Seconds, LogLine]]:
-    """Yield the decision lines with the time at which each request came."""
+def _routes(files: Sequence[Path]) -> Iterator[tuple[Seconds, LogLine]]:
+    """Yield each ``route`` line with the Unix time at which its request arrived."""
     for file in files:
-        for line in read_lines(file, having='"route"'):
+        for line in read_lines(file, containing='"route"'):
             if line.event == "route":
                 yield line.time - float(line.fields["took_ms"]) / 1000, line
 
 
-def summary_as_text(slices: Sequence[Slice]) -> Iterator[str]:
-    """Return the lines that show a summary."""
-    for found in slices:
-        if math.isfinite(found.begin) or math.isfinite(found.end):
-            yield f"from {found.begin:.1f} to {found.end:.1f} s"
-        for name, kind in sorted(found.kinds.items()):
-            yield from _kind_as_text(name, kind)
+def format_summary(slices: Sequence[TimeSlice]) -> Iterator[str]:
+    """Return a summary as lines of text."""
+    for time_slice in slices:
+        if math.isfinite(time_slice.begin) or math.isfinite(time_slice.end):
+            yield f"from {time_slice.begin:.1f} to {time_slice.end:.1f} s"
+        for name, kind in sorted(time_slice.kinds.items()):
+            yield from _format_kind(name, kind)
 
 
-def _kind_as_text(name: str, kind: KindSummary) -> Iterator[str]:
-    fates = ", ".join(f"{fate} {n}" for fate, n in kind.fates.most_common())
-    yield f"  {name}: {kind.requests} requests: {fates}"
+def _format_kind(name: str, kind: KindSummary) -> Iterator[str]:
+    results = ", ".join(f"{result} {n}" for result, n in kind.results.most_common())
+    yield f"  {name}: {kind.requests} requests: {results}"
     if kind.reasons:
         reasons = ", ".join(f"{reason} {n}" for reason, n in kind.reasons.most_common())
-        yield f"    refused or lost by {reasons}"
-    for why, choice in sorted(kind.choices.items(), key=lambda item: -item[1].tries):
+        yield f"    reasons of refused and lost requests: {reasons}"
+    for reason, selection in sorted(kind.selections.items(), key=lambda item: -item[1].attempts):
         yield (
-            f"    {why}: {choice.tries} tries, report {_shown(choice.ages)} ms old, "
-            f"sent after {_shown(choice.waits)} ms, expected {_shown(choice.expected)}, "
-            f"took {_shown(choice.took)} ms"
+            f"    {reason}: {selection.attempts} attempts, "
+            f"report {_format_quantiles(selection.report_ages_ms)} ms old, "
+            f"sent after {_format_quantiles(selection.delays_ms)} ms, "
+            f"expected latency ratio {_format_quantiles(selection.expected_ratios)}, "
+            f"took {_format_quantiles(selection.durations_ms)} ms"
         )
 
 
-def _shown(values: Iterable[float]) -> str:
-    """Return the quantiles of some values as text."""
+def _format_quantiles(values: Iterable[float]) -> str:
+    """Return the quantiles of values as text, separated by slashes."""
     ordered = sorted(values)
-    picked = (ordered[min(len(ordered) - 1, int(q * len(ordered)))] for q in _QUANTILES)
-    return "/".join(f"{value:.3g}" for value in picked)
+    quantiles = (ordered[min(len(ordered) - 1, int(q * len(ordered)))] for q in _QUANTILES)
+    return "/".join(f"{value:.3g}" for value in quantiles)
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -1,4 +1,4 @@
-"""Following a request through logs of many boxes."""
+"""Tracing a request, and the view that a box had, from the logs of several boxes."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from dunlinnotch.cli.common import Exit
 from dunlinnotch.errors import ConfigError
 from dunlinnotch.trace.lines import read_lines
-from dunlinnotch.trace.request import beliefs_at, trace_as_text, trace_request
+from dunlinnotch.trace.request import format_trace, trace_request, view_at
 
-TRY_FIELDS = (
+ATTEMPT_FIELDS = (
     "target",
     "why",
     "expected",
@@ -30,8 +30,8 @@
     return json.dumps({"time": time, "level": "info", "event": event, **fields}) + "\n"
 
 
-def route(time, request, *tries, **fields):
-    plain = {
+def route(time, request, *attempts, **fields):
+    defaults = {
         "kind": "lookup",
         "service": "records",
         "version": 4,
@@ -42,9 +42,9 @@
         "detail": "the connection was reset",
         "took_ms": 120.0,
         "target_latency_ms": 200.0,
-        "tries": [dict(zip(TRY_FIELDS, found, strict=True)) for found in tries],
+        "tries": [dict(zip(ATTEMPT_FIELDS, attempt, strict=True)) for attempt in attempts],
     }
-    return line(time, "route", request=request, **{**plain, **fields})
+    return line(time, "route", request=request, **{**defaults, **fields})
 
 
 @pytest.fixture
@@ -57,7 +57,7 @@
         line(1.4, "serving", box="front-1", version=3),
         line(2.0, "box", box="front-2", state="running", place="hall-b", before=None),
         line(3.0, "store-lost", table="targets", detail="no answer within 2 s"),
-        "Traceback: no event at all\n",
+        "Traceback: not an event\n",
         line(4.0, "settings-in-force", version=4, before=3, kinds=2),
         line(4.5, "target-gone", instance="i-1", target="10.0.0.1:1", why="gone"),
         route(5.0, "r-1", ("i-1", "good", 1.0, 0, 1.0, 3, 0.5, 60.0, "Broken")),
@@ -65,7 +65,7 @@
         route(
             6.0, "r-2", ("i-2", "fresh", 1.2, 0, 1.0, 3, 0.5, 60.0, "Answered"), outcome="answered"
         ),
-        '{"time": 6.5, "event": "cut off amid',
+        '{"time": 6.5, "event": "truncated li',
     ]
     second = [
         "    2.000 front-2 " + line(2.0, "started", box="front-2", place="hall-b"),
@@ -78,33 +78,33 @@
     return files
 
 
-def run(command, words):
+def run(command, arguments):
     tester = CommandTester(application().find(command))
-    status = tester.execute(words)
+    status = tester.execute(arguments)
     return status, tester.io.fetch_output(), tester.io.fetch_error()
 
 
-def test_a_request_is_found_with_what_its_box_believed(logs):
+def test_a_trace_has_the_attempts_and_the_view_of_the_box(logs):
     trace = trace_request("r-1", logs)
-    (passage,) = trace.passages
-    assert (passage.line.box, passage.line.time) == ("front-1", 5.0)
-    (tried,) = passage.tries
-    assert (tried.instance, tried.report_age, tried.end) == ("i-1", 3, "Broken")
-    assert passage.beliefs.settings.value == "version 4"
-    assert passage.beliefs.store["targets"].value == "store-lost"
-    assert {name: b.value for name, b in passage.beliefs.targets.items()} == {"i-1": "gone"}
-    # The other box learnt 0.3 s earlier that the target was gone.
-    assert [(found.box, found.time) for found in trace.learnt] == [
+    (hop,) = trace.hops
+    assert (hop.line.box, hop.line.time) == ("front-1", 5.0)
+    (attempt,) = hop.attempts
+    assert (attempt.instance, attempt.report_age_ms, attempt.result) == ("i-1", 3, "Broken")
+    assert hop.view.settings.value == "version 4"
+    assert hop.view.tables["targets"].value == "store-lost"
+    assert {name: entry.value for name, entry in hop.view.targets.items()} == {"i-1": "gone"}
+    # front-2 detected 0.3 s before front-1 that the target was gone.
+    assert [(entry.box, entry.time) for entry in trace.target_events] == [
         ("front-1", 1.2),
         ("front-2", 4.2),
         ("front-1", 4.5),
     ]
 
 
-def test_what_came_after_the_request_is_not_believed_yet(logs):
-    (passage,) = trace_request("r-2", logs).passages
-    assert passage.beliefs.targets["i-2"].value == "listed"
-    assert passage.beliefs.store["targets"].value == "store-regained"
+def test_the_view_excludes_events_after_the_request(logs):
+    (hop,) = trace_request("r-2", logs).hops
+    assert hop.view.targets["i-2"].value == "listed"
+    assert hop.view.tables["targets"].value == "store-regained"
 
 
 @pytest.mark.parametrize(
@@ -115,78 +115,85 @@
         (9.0, "version 4", {"i-1": "gone", "i-2": "listed"}),
     ],
 )
-def test_what_a_box_believed_at_a_moment(logs, time, settings, targets):
-    beliefs = beliefs_at("front-1", time, logs)
-    assert beliefs.settings.value == settings
-    assert {name: b.value for name, b in beliefs.targets.items()} == targets
+def test_the_view_of_a_box_at_a_given_time(logs, time, settings, targets):
+    view = view_at("front-1", time, logs)
+    assert view.settings.value == settings
+    assert {name: entry.value for name, entry in view.targets.items()} == targets
 
 
-def test_a_restarted_box_believes_nothing_of_what_it_believed_before(logs):
+def test_a_restart_clears_the_view(logs):
     with logs[0].open("a", encoding="utf-8") as log:
         log.write("\n" + line(7.0, "started", box="front-1", place="hall-a"))
-    beliefs = beliefs_at("front-1", 8.0, logs)
-    assert beliefs.phase.value == "started"
-    assert (beliefs.settings, beliefs.targets, beliefs.peers) == (None, {}, {})
+    view = view_at("front-1", 8.0, logs)
+    assert view.phase.value == "started"
+    assert (view.settings, view.targets, view.peers) == (None, {}, {})
 
 
-def test_lines_that_are_no_events_are_left_out(logs):
-    assert [found.event for found in read_lines(logs[1])] == [
+def test_lines_without_an_event_are_skipped(logs):
+    assert [entry.event for entry in read_lines(logs[1])] == [
         "started",
         "target-gone",
         "target-gone",
     ]
-    assert {found.box for found in read_lines(logs[1])} == {"front-2"}
+    assert {entry.box for entry in read_lines(logs[1])} == {"front-2"}
 
 
-def test_the_tool_prints_the_way_of_a_request(logs):
-    words = " ".join(str(file) for file in logs)
-    status, out, _ = run("trace request", f"r-1 {words}")
+def test_the_command_prints_the_trace_of_a_request(logs):
+    paths = " ".join(str(file) for file in logs)
+    status, out, _ = run("trace request", f"r-1 {paths}")
     assert status == Exit.OK
     assert "5.000 front-1: lookup -> records: unknown target-broken, status 502, 120.0 ms" in out
-    assert "because the connection was reset" in out
-    assert "by settings version 4, known to be the newest 0.4 s before" in out
-    assert "to i-1 (good, expected 1 times the usual, report 3 ms old): Broken" in out
-    assert "believed target i-1: gone for 0.50 s (gone)" in out
+    assert "detail: the connection was reset" in out
+    assert "settings version 4, last confirmed to be the newest 0.4 s before" in out
+    assert "to i-1 (good, expected 1 times the usual latency, report 3 ms old): Broken" in out
+    assert "view: target i-1: gone for 0.50 s (gone)" in out
     assert "4.200 front-2: target-gone i-1 gone" in out
 
 
-def test_the_tool_prints_what_a_box_believed(logs):
-    words = " ".join(str(file) for file in logs)
-    status, out, _ = run("trace box", f"front-1 3.5 {words}")
+def test_the_command_prints_the_view_of_a_box(logs):
+    paths = " ".join(str(file) for file in logs)
+    status, out, _ = run("trace box", f"front-1 3.5 {paths}")
     assert status == Exit.OK
-    assert "believed phase: serving for 2.10 s" in out
-    assert "believed table targets: store-lost for 0.50 s (no answer within 2 s)" in out
-    assert "believed box front-2: running for 1.50 s (hall-b)" in out
+    assert "view: phase: serving for 2.10 s" in out
+    assert "view: table targets: store-lost for 0.50 s (no answer within 2 s)" in out
+    assert "view: box front-2: running for 1.50 s (hall-b)" in out
 
 
 @pytest.mark.parametrize(
-    ("command", "words", "status", "said"),
+    ("command", "arguments", "status", "message"),
     [
         ("trace request", "r-9 {log}", Exit.FAILED, "no log has a decision on request 'r-9'"),
         ("trace request", "r-1 {log}.none", Exit.INVALID, "No such file"),
-        ("trace box", "front-9 3.0 {log}", Exit.FAILED, "no log tells of box 'front-9'"),
+        (
+            "trace box",
+            "front-9 3.0 {log}",
+            Exit.FAILED,
+            "no log shows the view of box 'front-9'",
+        ),
         ("trace box", "front-1 noon {log}", Exit.INVALID, "time 'noon': allowed are seconds"),
     ],
 )
-def test_what_can_t_be_told_is_said(logs, command, words, status, said):
-    got, _, error = run(command, words.format(log=logs[0]))
-    assert got == status
-    assert said in error
+def test_invalid_arguments_and_missing_data_are_reported(logs, command, arguments, status, message):
+    actual_status, _, error = run(command, arguments.format(log=logs[0]))
+    assert actual_status == status
+    assert message in error
 
 
-def test_a_file_that_is_not_there_is_named(tmp_path):
+def test_an_error_names_the_missing_file(tmp_path):
     with pytest.raises(ConfigError, match="none.log"):
         list(read_lines(tmp_path / "none.log"))
 
 
-def test_a_target_that_turned_a_request_away_is_shown_with_what_it_asked_for(tmp_path):
-    found = dict(zip(TRY_FIELDS, ("i-1", "good", 1.0, 0, 1.0, 3, 0.5, 0.6, "NotRun"), strict=True))
+def test_a_refused_attempt_is_shown_with_its_status_and_back_off(tmp_path):
+    attempt = dict(
+        zip(ATTEMPT_FIELDS, ("i-1", "good", 1.0, 0, 1.0, 3, 0.5, 0.6, "NotRun"), strict=True)
+    )
     lines = [
         line(1.0, "target-asks-rest", instance="i-1", service="records", rest_s=3.0),
-        route(2.0, "r-1", tries=[{**found, "status": 503, "rest_s": 3.0}]),
+        route(2.0, "r-1", tries=[{**attempt, "status": 503, "rest_s": 3.0}]),
     ]
     log = tmp_path / "front-1.log"
     log.write_text("".join(lines))
-    shown = "\n".join(trace_as_text(trace_request("r-1", [log])))
-    assert "NotRun after 0.6 ms, status 503, asked for 3 s of rest" in shown
-    assert "believed target i-1: resting for 1.00 s" in shown
+    text = "\n".join(format_trace(trace_request("r-1", [log])))
+    assert "NotRun after 0.6 ms, status 503, requested 3 s of back-off" in text
+    assert "view: target i-1: backing off for 1.00 s" in text
