--- a/dunlinnotch/trace/request.py
+++ b/dunlinnotch/trace/request.py
@@ -135,6 +135,7 @@
     time : float
         Unix time in seconds, by the box's own clock.
     files : sequence of Path
+        Several logs of the same box must be given in order of time.
 
     Raises
     ------
