--- a/dunlinnotch/cli/__init__.py
+++ b/dunlinnotch/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command-line tool."""
+"""Command-line tool for operators."""
--- a/dunlinnotch/cli/__main__.py
+++ b/dunlinnotch/cli/__main__.py
@@ -1,4 +1,4 @@
-"""The operators' tool: ``dunlinnotch``."""
+"""Entry point of the command-line tool ``dunlinnotch``."""
 
 from __future__ import annotations
 
@@ -38,11 +38,11 @@
 
 
 def application() -> Application:
-    """Return the tool with all its commands."""
-    tool = Application("dunlinnotch", "0.1.0")
+    """Return the application with all commands."""
+    app = Application("dunlinnotch", "0.1.0")
     for command in COMMANDS:
-        tool.add(command())
-    return tool
+        app.add(command())
+    return app
 
 
 def main() -> int:
--- a/dunlinnotch/cli/common.py
+++ b/dunlinnotch/cli/common.py
@@ -1,4 +1,4 @@
-"""What the commands of the operators' tool share."""
+"""Base classes and exit statuses of the commands."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 
     from dunlinnotch.protocol.outcome import EditResult
 
-#: Operator addresses used when ``--box`` is left out, separated by commas.
+#: Environment variable with the operator addresses used without ``--box``, separated by commas.
 BOX_VARIABLE = "DUNLINNOTCH_BOX"
 
 
 class Exit(IntEnum):
-    """Exit statuses; the table in ``docs/OPERATIONS.md`` explains each."""
+    """Exit statuses; ``docs/OPERATIONS.md`` explains each."""
 
     OK = 0
     FAILED = 1
@@ -41,7 +41,7 @@
     PENDING = 6
 
 
-_EXIT_OF = {
+_EXIT_BY_STATUS = {
     EditStatus.ACCEPTED: Exit.OK,
     EditStatus.PENDING: Exit.PENDING,
     EditStatus.CONFLICT: Exit.CONFLICT,
@@ -52,10 +52,10 @@
 
 
 class FileCommand(Command):
-    """A command that works on files alone and talks to no box."""
+    """A command that works on files and does not connect to a box."""
 
     def handle(self) -> int:
-        """Run the command; bad input becomes an exit status."""
+        """Run the command; invalid input becomes an exit status."""
         try:
             return int(self.act())
         except ConfigError as error:
@@ -63,18 +63,18 @@
             return Exit.INVALID
 
     def act(self) -> Exit:
-        """Do the command's work."""
+        """Do the work of the command and return its exit status."""
         raise NotImplementedError
 
 
 class BoxCommand(Command):
-    """A command that talks to a box."""
+    """A command that connects to a box."""
 
     options: ClassVar[list[Any]] = [
         option(
             "box",
             "b",
-            f"Operator address of a box; may be given again (default: ${BOX_VARIABLE})",
+            f"Operator address of a box; may be repeated (default: ${BOX_VARIABLE})",
             flag=False,
             multiple=True,
         ),
@@ -82,9 +82,9 @@
     ]
 
     def client(self) -> OperatorClient:
-        """Return a client of the boxes named."""
-        named = self.option("box") or os.environ.get(BOX_VARIABLE, "").split(",")
-        return OperatorClient([address.strip() for address in named if address.strip()])
+        """Return a client of the boxes given by ``--box`` or the environment variable."""
+        addresses = self.option("box") or os.environ.get(BOX_VARIABLE, "").split(",")
+        return OperatorClient([address.strip() for address in addresses if address.strip()])
 
     def handle(self) -> int:
         """Run the command; turn errors into exit statuses."""
@@ -98,11 +98,11 @@
             return Exit.INVALID
 
     def act(self) -> Exit:
-        """Do the command's work."""
+        """Do the work of the command and return its exit status."""
         raise NotImplementedError
 
     def show(self, value: object, headers: Sequence[str], rows: list[list[str]]) -> None:
-        """Print ``value`` as JSON if asked to, else ``rows`` as a table."""
+        """Print ``value`` as JSON with ``--json``, otherwise ``rows`` as a table."""
         if self.option("json"):
             self.print_json(value)
             return
@@ -122,55 +122,70 @@
         option(
             "wait",
             None,
-            "Seconds to wait until in force everywhere",
+            "Seconds to wait until the edit is in force on all boxes",
             flag=False,
             default=str(EDIT_WAIT_S),
         ),
         option(
             "base",
             None,
-            "Version that the edit is based on (default: the newest one)",
+            "Version that the edit is based on (default: the newest)",
             flag=False,
         ),
-        option("id", None, "Edit id of an earlier try whose result is unknown", flag=False),
+        option("id", None, "Edit id of an earlier attempt whose result is unknown", flag=False),
     ]
 
     def edit(self, changes: Sequence[Change]) -> Exit:
-        """Make one edit and print old and new values, version and who lacks it."""
+        """Make one edit and print the old and new values and the result.
+
+        Parameters
+        ----------
+        changes : sequence of Change
+
+        Raises
+        ------
+        SettingsError
+            If a change or an option is invalid.
+        BoxUnreachableError
+            If no box answers.
+        RequestRefusedError
+            If the box refuses the request.
+        """
         for change in changes:
             change.check()
         client = self.client()
         tree = client.tree()
-        base = int(self._number("base")) if self.option("base") else tree.version
+        base = int(self._float_option("base")) if self.option("base") else tree.version
         edit_id = self.option("id") or uuid.uuid4().hex
         edit = Edit(edit_id, base, getpass.getuser(), tuple(changes))
-        result = client.edit(EditRequest(edit, self._number("wait")))
+        result = client.edit(EditRequest(edit, self._float_option("wait")))
         if self.option("json"):
             self.print_json(result)
-            return _EXIT_OF[result.status]
+            return _EXIT_BY_STATUS[result.status]
         for change in changes:
             before = tree.nodes.get(change.path, {}).get(change.name, "(inherited)")
             after = "(inherited)" if change.value is None else change.value
             self.line(f"{change.path}  {change.name}: {before} -> {after}")
-        self._say(result, edit_id)
-        return _EXIT_OF[result.status]
+        self._print_result(result, edit_id)
+        return _EXIT_BY_STATUS[result.status]
 
-    def _number(self, name: str) -> float:
+    def _float_option(self, name: str) -> float:
+        """Return the value of an option as a number; 0 if the option is not given."""
         text = self.option(name)
         try:
             return float(text or 0)
         except ValueError:
-            msg = f"--{name} {text!r} is not a number"
+            msg = f"--{name} {text!r}: allowed is a number"
             raise SettingsError(msg) from None
 
-    def _say(self, result: EditResult, edit_id: str) -> None:
+    def _print_result(self, result: EditResult, edit_id: str) -> None:
         if result.status is EditStatus.ACCEPTED:
             self.line(f"<info>accepted</info> as version {result.version}, in force on all boxes")
         elif result.status is EditStatus.PENDING:
             boxes = ", ".join(result.missing)
-            self.line(f"kept as version {result.version}; not confirmed yet by: {boxes}")
+            self.line(f"stored as version {result.version}; not yet confirmed by: {boxes}")
         else:
             paths = f" ({', '.join(result.conflicts)})" if result.conflicts else ""
             self.line_error(f"<error>{result.status}</error>: {result.detail}{paths}")
             if result.status is EditStatus.UNKNOWN:
-                self.line_error(f"to settle it, run the command again with --id {edit_id}")
+                self.line_error(f"to learn the result, run the command again with --id {edit_id}")
