--- a/dunlinnotch/cli/settings.py
+++ b/dunlinnotch/cli/settings.py
@@ -1,4 +1,4 @@
-"""Commands on the settings tree."""
+"""Commands that read and change the settings tree."""
 
 from __future__ import annotations
 
@@ -18,50 +18,61 @@
 
 
 def export_ini(tree: SettingsTree) -> str:
-    """Return a tree as INI text, one section for each node."""
-    parser = _parser()
+    """Return a settings tree as INI text with one section for each node."""
+    parser = _make_parser()
     for path in sorted(tree.nodes):
         parser[path] = dict(sorted(tree.nodes[path].items()))
-    out = io.StringIO()
-    parser.write(out)
-    return out.getvalue()
+    buffer = io.StringIO()
+    parser.write(buffer)
+    return buffer.getvalue()
 
 
 def import_changes(tree: SettingsTree, text: str) -> list[Change]:
-    """Return the changes that turn ``tree`` into the one in INI text.
+    """Return the changes that make ``tree`` equal to the tree in an INI text.
+
+    Parameters
+    ----------
+    tree : SettingsTree
+    text : str
+        As written by ``settings export``.
+
+    Returns
+    -------
+    list of Change
+        Sorted by path; settings that the text lacks are removed.
 
     Raises
     ------
     SettingsError
-        If the text is not INI.
+        If the text is not valid INI.
     """
-    parser = _parser()
+    parser = _make_parser()
     try:
         parser.read_string(text)
     except configparser.Error as error:
         raise SettingsError(str(error)) from None
-    wanted = {path: dict(parser[path]) for path in parser.sections()}
+    new_nodes = {path: dict(parser[path]) for path in parser.sections()}
     changes = []
-    for path in sorted({*tree.nodes, *wanted}):
-        old, new = tree.nodes.get(path, {}), wanted.get(path, {})
+    for path in sorted({*tree.nodes, *new_nodes}):
+        old, new = tree.nodes.get(path, {}), new_nodes.get(path, {})
         changes += [Change(path, n, v) for n, v in sorted(new.items()) if old.get(n) != v]
         changes += [Change(path, n, None) for n in sorted(old) if n not in new]
     return changes
 
 
 def read_tree(file: Path) -> SettingsTree:
-    """Return the tree in an INI file, as written by ``settings export``.
+    """Read a settings tree from an INI file, as written by ``settings export``.
 
     Raises
     ------
     SettingsError
-        If the file can't be read, or a setting in it is unknown or out of range.
+        If the file cannot be read, or a setting in it is unknown or out of range.
     """
-    empty = SettingsTree()
-    changes = import_changes(empty, _read_text(file))
+    empty_tree = SettingsTree()
+    changes = import_changes(empty_tree, _read_text(file))
     for change in changes:
         change.check()
-    return empty.apply(Edit("check", 0, "check", tuple(changes), version=1))
+    return empty_tree.apply(Edit("check", 0, "check", tuple(changes), version=1))
 
 
 def _read_text(file: Path) -> str:
@@ -71,19 +82,20 @@
         raise SettingsError(str(error)) from None
 
 
-def _parser() -> configparser.ConfigParser:
+def _make_parser() -> configparser.ConfigParser:
+    # The default section is a name that no node can have, so no section applies to others.
     return configparser.ConfigParser(interpolation=None, default_section="\0", delimiters=("=",))
 
 
 class SettingsShow(BoxCommand):
-    """Show the tree."""
+    """Show the settings tree."""
 
     name = "settings show"
-    description = "Show what the tree's nodes set"
+    description = "Show the settings of each node of the tree"
     help = "Example: <info>dunlinnotch settings show --box 10.0.0.1:7003</info>"
 
     def act(self) -> Exit:
-        """Print each setting of each node."""
+        """Print the settings of each node."""
         tree = self.client().tree()
         rows = [[p, n, v] for p in sorted(tree.nodes) for n, v in sorted(tree.nodes[p].items())]
         self.show(tree, ["node", "setting", "value"], rows)
@@ -93,10 +105,10 @@
 
 
 class SettingsGet(BoxCommand):
-    """Print one effective value."""
+    """Print the effective value of one setting."""
 
     name = "settings get"
-    description = "Print the value in force at a node"
+    description = "Print the effective value of a setting at a node"
     help = "Example: <info>dunlinnotch settings get hall-a/holdings weight</info>"
     arguments: ClassVar[list[Any]] = [
         argument("path", _PATH_HELP),
@@ -104,23 +116,23 @@
     ]
 
     def act(self) -> Exit:
-        """Print the value, or value and source as JSON."""
+        """Print the value; with ``--json``, the value and its source."""
         name = self.argument("name")
         check_name(name)
         explained = self.client().explain(self.argument("path"))
-        found = next(item for item in explained if item.name == name)
+        effective = next(item for item in explained if item.name == name)
         if self.option("json"):
-            self.print_json(found)
+            self.print_json(effective)
         else:
-            self.line(found.value)
+            self.line(effective.value)
         return Exit.OK
 
 
 class SettingsSet(EditCommand):
-    """Set one value or several."""
+    """Set one or more values of a node."""
 
     name = "settings set"
-    description = "Set values of one node, all at once"
+    description = "Set values of one node in a single edit"
     help = "Example: <info>dunlinnotch settings set hall-a/holdings weight=0.25</info>"
     arguments: ClassVar[list[Any]] = [
         argument("path", _PATH_HELP),
@@ -133,17 +145,17 @@
         for pair in self.argument("values"):
             name, equals, value = pair.partition("=")
             if not equals:
-                msg = f"{pair!r} is not of the form NAME=VALUE"
+                msg = f"{pair!r}: allowed is NAME=VALUE"
                 raise SettingsError(msg)
             changes.append(Change(self.argument("path"), name.strip(), value.strip()))
         return self.edit(changes)
 
 
 class SettingsUnset(EditCommand):
-    """Remove one value or several."""
+    """Remove one or more values of a node."""
 
     name = "settings unset"
-    description = "Remove values of one node, so that they are inherited again"
+    description = "Remove values of one node, so that it inherits them again"
     help = "Example: <info>dunlinnotch settings unset hall-a/holdings weight</info>"
     arguments: ClassVar[list[Any]] = [
         argument("path", _PATH_HELP),
@@ -156,28 +168,28 @@
 
 
 class SettingsExport(BoxCommand):
-    """Write the tree as INI."""
+    """Print the settings tree as INI."""
 
     name = "settings export"
-    description = "Print the tree as INI"
+    description = "Print the settings tree as INI"
     help = "Example: <info>dunlinnotch settings export > tree.ini</info>"
 
     def act(self) -> Exit:
-        """Print the text."""
+        """Print the INI text."""
         self.io.output.write(export_ini(self.client().tree()))
         return Exit.OK
 
 
 class SettingsImport(EditCommand):
-    """Make the tree equal to an INI file."""
+    """Make the settings tree equal to an INI file."""
 
     name = "settings import"
-    description = "Make the tree equal to an INI file, in one edit"
+    description = "Make the settings tree equal to an INI file in a single edit"
     help = "Example: <info>dunlinnotch settings import tree.ini --dry-run</info>"
-    arguments: ClassVar[list[Any]] = [argument("file", "INI file, as written by export")]
+    arguments: ClassVar[list[Any]] = [argument("file", "INI file, as written by settings export")]
     options: ClassVar[list[Any]] = [
         *EditCommand.options,
-        option("dry-run", None, "Show what would change, and change nothing"),
+        option("dry-run", None, "Show the changes without making them"),
     ]
 
     def act(self) -> Exit:
@@ -197,14 +209,14 @@
 
 
 class SettingsHistory(BoxCommand):
-    """Show the newest edits."""
+    """Show the latest edits."""
 
     name = "settings history"
-    description = "Show who changed what, newest last"
+    description = "Show the latest edits with their authors, newest last"
     help = "Example: <info>dunlinnotch settings history --json</info>"
 
     def act(self) -> Exit:
-        """Print the edits that the box remembers."""
+        """Print the edits that the box holds."""
         edits = self.client().tree().edits
         rows = [
             [str(e.version), e.author, c.path, c.name, "(inherit)" if c.value is None else c.value]
@@ -216,15 +228,15 @@
 
 
 class Explain(BoxCommand):
-    """Say why a value is in force and which targets may take a call."""
+    """Show where effective values come from, and the targets of a service."""
 
     name = "explain"
-    description = "Show each effective value with the node it comes from, and the targets now"
+    description = "Show each effective value with its node, and the current targets of the service"
     help = "Example: <info>dunlinnotch explain hall-a/holdings/lookup</info>"
     arguments: ClassVar[list[Any]] = [argument("path", _PATH_HELP)]
 
     def act(self) -> Exit:
-        """Print values and targets."""
+        """Print the values, and the targets if the path names a service."""
         path = self.argument("path")
         client = self.client()
         explained = client.explain(path)
@@ -234,12 +246,22 @@
         if len(parts) > 1 and parts[1] and not self.option("json"):
             targets = client.targets(parts[1])
             table = [
-                [t.address, t.place, f"{t.score:.2f}", str(t.own), _notes(t.leaving, t.aside)]
+                [
+                    t.address,
+                    t.place,
+                    f"{t.score:.2f}",
+                    str(t.own),
+                    _flags(t.leaving, t.aside),
+                ]
                 for t in sorted(targets, key=lambda t: t.score)
             ]
-            self.render_table(["target", "place", "score", "own", "notes"], table, style="compact")
+            self.render_table(
+                ["target", "place", "score", "in flight", "notes"], table, style="compact"
+            )
         return Exit.OK
 
 
-def _notes(leaving: bool, aside: bool) -> str:
-    return ", ".join(n for n, on in (("leaving", leaving), ("set aside", aside)) if on)
+def _flags(leaving: bool, ejected: bool) -> str:
+    return ", ".join(
+        flag for flag, is_set in (("leaving", leaving), ("ejected", ejected)) if is_set
+    )
