--- a/dunlinnotch/cli/lab.py
+++ b/dunlinnotch/cli/lab.py
@@ -1,4 +1,4 @@
-"""Commands that play days of experiments on stand-ins of the users' platform."""
+"""Commands that run test scenarios against a simulated platform and compare the results."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
 if TYPE_CHECKING:
     from collections.abc import Coroutine
 
-_SOAK_MOST = 500
-#: Exit status of a process that a signal ended, as shells tell it.
-_TERMINATED = 128 + signal.SIGTERM
+_MAX_SOAK_SCENARIOS = 500
+#: Exit status that a shell reports for a process ended by SIGTERM.
+_SIGTERM_STATUS = 128 + signal.SIGTERM
 
 
-async def _until_terminated(work: Coroutine[None, None, ScenarioResult]) -> ScenarioResult:
-    """Await work; the signal that ends the tool ends what the work started first."""
+async def _cancel_on_sigterm(work: Coroutine[None, None, ScenarioResult]) -> ScenarioResult:
+    """Await ``work``; on SIGTERM cancel it, so that it stops the processes that it started."""
     task = asyncio.current_task()
     assert task is not None
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
@@ -42,54 +42,78 @@
 
 
 class LabCommand(FileCommand):
-    """A command that plays days."""
+    """A command that runs scenarios."""
 
-    def play(self, day: Scenario, logs: Path) -> ScenarioResult:
-        """Play one day and show how far it is."""
+    def run_with_progress(self, scenario: Scenario, logs: Path) -> ScenarioResult:
+        """Run a scenario and print its progress to standard error.
+
+        Parameters
+        ----------
+        scenario : Scenario
+        logs : Path
+            Directory for the boxes' logs; created if missing.
+
+        Raises
+        ------
+        SystemExit
+            If the tool received SIGTERM.
+        """
         logs.mkdir(parents=True, exist_ok=True)
         try:
-            return asyncio.run(_until_terminated(run_scenario(day, logs, progress=self.line_error)))
+            return asyncio.run(
+                _cancel_on_sigterm(run_scenario(scenario, logs, progress=self.line_error))
+            )
         except asyncio.CancelledError:
-            raise SystemExit(_TERMINATED) from None
+            raise SystemExit(_SIGTERM_STATUS) from None
+
+    def int_option(self, name: str, default: int, *, max_value: int) -> int:
+        """Return the value of an option that is a whole number.
 
-    def whole(self, name: str, default: int, *, most: int) -> int:
-        """Return an option that is a whole number.
+        Parameters
+        ----------
+        name : str
+        default : int
+            Returned if the option is not given.
+        max_value : int
 
         Raises
         ------
         ConfigError
+            If the value is not a whole number from 0 to ``max_value``.
         """
         value = self.option(name)
         if value is None:
             return default
-        if not str(value).isdigit() or int(value) > most:
-            msg = f"--{name} {value}: allowed is a whole number from 0 to {most}"
+        if not str(value).isdigit() or int(value) > max_value:
+            msg = f"--{name} {value}: allowed is a whole number from 0 to {max_value}"
             raise ConfigError(msg)
         return int(value)
 
 
 class LabRun(LabCommand):
-    """Play one day."""
+    """Run one scenario."""
 
     name = "lab run"
-    description = "Play a day: real boxes, stand-ins of store, targets and callers, troubles"
+    description = (
+        "Run a scenario of faults with real boxes and simulated store, targets and callers"
+    )
     help = "Example: <info>dunlinnotch lab run day.toml --logs logs --save result.json</info>"
     arguments: ClassVar[list[Any]] = [
-        argument("day", "TOML file of the day; left out: the day of --seed", optional=True)
+        argument("day", "TOML file of the scenario (default: generated from --seed)", optional=True)
     ]
     options: ClassVar[list[Any]] = [
-        option("seed", None, "Draw the day by this seed", flag=False),
-        option("logs", None, "Folder for the boxes' logs (default: thrown away)", flag=False),
-        option("save", None, "File for the result, for lab compare", flag=False),
+        option("seed", None, "Seed from which the scenario is generated (default: 1)", flag=False),
+        option("logs", None, "Directory for the boxes' logs (default: not kept)", flag=False),
+        option("save", None, "File for the result, for lab compare and lab plot", flag=False),
     ]
 
     def act(self) -> Exit:
-        """Play the day; return FAILED if a promise was broken."""
+        """Run the scenario; return FAILED if a guarantee was violated."""
         file = self.argument("day")
-        seed = self.whole("seed", 1, most=2**63)
-        day = generate_scenario(seed) if file is None else read_scenario(Path(file))
-        with tempfile.TemporaryDirectory() as folder:
-            result = self.play(day, Path(self.option("logs") or folder))
+        seed = self.int_option("seed", 1, max_value=2**63)
+        scenario = generate_scenario(seed) if file is None else read_scenario(Path(file))
+        with tempfile.TemporaryDirectory() as directory:
+            result = self.run_with_progress(scenario, Path(self.option("logs") or directory))
         self.line(format_result(result))
         if self.option("save"):
             result.save(Path(self.option("save")))
@@ -97,60 +121,62 @@
 
 
 class LabSoak(LabCommand):
-    """Play days of fresh seeds."""
+    """Run scenarios generated from successive seeds."""
 
     name = "lab soak"
-    description = "Play drawn days one after the other; keep the logs of those that broke a promise"
+    description = "Run generated scenarios; keep the logs of those that violated a guarantee"
     help = "Example: <info>dunlinnotch lab soak --days 20 --keep soak</info>"
     options: ClassVar[list[Any]] = [
-        option("days", None, "How many days (default: 10)", flag=False),
-        option("seed", None, "First seed (default: drawn anew)", flag=False),
-        option("keep", None, "Folder for logs and results (default: soak)", flag=False),
+        option("days", None, "Number of scenarios (default: 10)", flag=False),
+        option("seed", None, "First seed (default: random)", flag=False),
+        option("keep", None, "Directory for logs and results (default: soak)", flag=False),
     ]
 
     def act(self) -> Exit:
-        """Play the days; return FAILED if any broke a promise."""
-        days = self.whole("days", 10, most=_SOAK_MOST)
-        first = self.whole("seed", secrets.randbelow(2**31), most=2**63)
+        """Run the scenarios; return FAILED if any violated a guarantee."""
+        count = self.int_option("days", 10, max_value=_MAX_SOAK_SCENARIOS)
+        first_seed = self.int_option("seed", secrets.randbelow(2**31), max_value=2**63)
         keep = Path(self.option("keep") or "soak")
-        broken = []
-        for seed in range(first, first + days):
-            day = generate_scenario(seed)
-            kinds = ", ".join(f"{t.kind.value} at {t.at:g} s" for t in day.troubles)
-            with tempfile.TemporaryDirectory() as folder:
-                result = self.play(day, Path(folder))
-                late = (
-                    f", tool late by {result.tool_late:.1f} s"
+        failed_seeds = []
+        for seed in range(first_seed, first_seed + count):
+            scenario = generate_scenario(seed)
+            faults = ", ".join(f"{f.kind.value} at {f.at:g} s" for f in scenario.troubles)
+            with tempfile.TemporaryDirectory() as directory:
+                result = self.run_with_progress(scenario, Path(directory))
+                delay = (
+                    f", requests sent up to {result.tool_late:.1f} s late"
                     if result.tool_late > MAX_SEND_DELAY_S
                     else ""
                 )
-                found = len(result.findings)
-                self.line(f"{day.name}: {found} broken promises{late} ({kinds})")
+                violations = len(result.findings)
+                self.line(f"{scenario.name}: {violations} violations{delay} ({faults})")
                 if result.findings:
-                    broken.append(seed)
-                    self._keep(result, Path(folder), keep / day.name)
-        self.line(f"{days} days from seed {first}; broke a promise: {broken or 'none'}")
-        return Exit.FAILED if broken else Exit.OK
-
-    def _keep(self, result: ScenarioResult, logs: Path, where: Path) -> None:
-        where.mkdir(parents=True, exist_ok=True)
-        result.save(where / "result.json")
+                    failed_seeds.append(seed)
+                    self._save_failure(result, Path(directory), keep / scenario.name)
+        self.line(
+            f"{count} scenarios from seed {first_seed}; violations at: {failed_seeds or 'none'}"
+        )
+        return Exit.FAILED if failed_seeds else Exit.OK
+
+    def _save_failure(self, result: ScenarioResult, logs: Path, destination: Path) -> None:
+        destination.mkdir(parents=True, exist_ok=True)
+        result.save(destination / "result.json")
         for log in logs.glob("*.log"):
-            (where / log.name).write_bytes(log.read_bytes())
-        for finding in result.findings:
-            self.line(f"  {finding}")
-        self.line(f"  logs and result are in {where}")
+            (destination / log.name).write_bytes(log.read_bytes())
+        for violation in result.findings:
+            self.line(f"  {violation}")
+        self.line(f"  logs and result are in {destination}")
 
 
 class LabCompare(LabCommand):
-    """Compare two results."""
+    """Compare two saved results."""
 
     name = "lab compare"
-    description = "Set two saved results side by side"
+    description = "Compare two saved results side by side"
     help = "Example: <info>dunlinnotch lab compare before.json after.json</info>"
     arguments: ClassVar[list[Any]] = [
-        argument("first", "Result of a day"),
-        argument("second", "Result of a day"),
+        argument("first", "Result saved by lab run"),
+        argument("second", "Result saved by lab run"),
     ]
 
     def act(self) -> Exit:
@@ -161,14 +187,14 @@
 
 
 class LabPlot(LabCommand):
-    """Draw a result."""
+    """Plot a saved result."""
 
     name = "lab plot"
-    description = "Draw requests a second and p99 over the time of a day"
+    description = "Plot requests per second and p99 latency over the time of a scenario"
     help = "Example: <info>dunlinnotch lab plot before.json before.png</info>"
     arguments: ClassVar[list[Any]] = [
-        argument("result", "Result of a day, as saved by lab run"),
-        argument("image", "File to write; its ending names the format"),
+        argument("result", "Result saved by lab run"),
+        argument("image", "Image file to write; its suffix selects the format"),
     ]
 
     def act(self) -> Exit:
