--- a/dunlinnotch/cli/__main__.py
+++ b/dunlinnotch/cli/__main__.py
@@ -1,4 +1,4 @@
-"""The operators' tool: ``dunlinnotch``."""
+"""Entry point of the command-line tool ``dunlinnotch``."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from cleo.application import Application
 
-from dunlinnotch.cli import lab, moves, settings, trace
+from dunlinnotch.cli import lab, operations, settings, trace
 
 COMMANDS = (
     settings.SettingsShow,
@@ -17,16 +17,16 @@
     settings.SettingsImport,
     settings.SettingsHistory,
     settings.Explain,
-    moves.BoxList,
-    moves.BoxDrain,
-    moves.BoxResume,
-    moves.PlaceStop,
-    moves.PlaceStart,
-    moves.TargetDrain,
-    moves.TargetResume,
-    moves.ShowStatus,
-    moves.LogLevel,
-    moves.CheckFile,
+    operations.BoxList,
+    operations.BoxDrain,
+    operations.BoxResume,
+    operations.PlaceStop,
+    operations.PlaceStart,
+    operations.TargetDrain,
+    operations.TargetResume,
+    operations.ShowStatus,
+    operations.LogLevel,
+    operations.CheckFile,
     lab.LabRun,
     lab.LabSoak,
     lab.LabCompare,
@@ -38,11 +38,11 @@
 
 
 def application() -> Application:
-    """Return the tool with all its commands."""
-    tool = Application("dunlinnotch", "0.1.0")
+    """Return the application with all commands."""
+    app = Application("dunlinnotch", "0.1.0")
     for command in COMMANDS:
-        tool.add(command())
-    return tool
+        app.add(command())
+    return app
 
 
 def main() -> int:
