--- a/dunlinnotch/lab/checker/common.py
+++ b/dunlinnotch/lab/checker/common.py
@@ -16,7 +16,7 @@
     from dunlinnotch.lab.fleet import Target
     from dunlinnotch.lab.scenario import KindPlan, Scenario
     from dunlinnotch.standins.users.caller import AttemptRecord
-    from dunlinnotch.standins.users.worker import Arrival, Ran
+    from dunlinnotch.standins.users.worker import Arrival, WorkerRun
     from dunlinnotch.types import Address, Seconds
 
 #: Added to every time limit, because timers fire late.
@@ -186,7 +186,7 @@
     attempts_by_id : dict of str to AttemptRecord
         Includes the crashing and the abandoned attempts.
     kinds_by_name : dict of str to KindPlan
-    runs_by_id : dict of str to list of (Target, Ran)
+    runs_by_id : dict of str to list of (Target, WorkerRun)
         The targets that ran an attempt, by its id.
     """
 
@@ -196,7 +196,7 @@
         all_attempts = (*observations.attempts, *observations.crashing, *observations.abandoned)
         self.attempts_by_id = {attempt.id: attempt for attempt in all_attempts}
         self.kinds_by_name: dict[str, KindPlan] = {kind.name: kind for kind in self.scenario.kinds}
-        self.runs_by_id: dict[str, list[tuple[Target, Ran]]] = defaultdict(list)
+        self.runs_by_id: dict[str, list[tuple[Target, WorkerRun]]] = defaultdict(list)
         for target in observations.targets:
             for run in target.worker.ran:
                 self.runs_by_id[run.request_id].append((target, run))
--- a/dunlinnotch/lab/checker/settings.py
+++ b/dunlinnotch/lab/checker/settings.py
@@ -12,7 +12,7 @@
 
     from dunlinnotch.lab.checker.common import ObservationIndex
     from dunlinnotch.lab.fleet import Target
-    from dunlinnotch.standins.users.worker import Ran
+    from dunlinnotch.standins.users.worker import WorkerRun
     from dunlinnotch.types import Seconds
 
 
@@ -31,7 +31,7 @@
     kind: str,
     route_changes: list[tuple[Seconds, str]],
     target: Target,
-    run: Ran,
+    run: WorkerRun,
 ) -> Iterator[Violation]:
     """Check that a request ran at a service of settings written and not yet replaced.
 
--- a/dunlinnotch/standins/users/worker.py
+++ b/dunlinnotch/standins/users/worker.py
@@ -53,7 +53,7 @@
 
 
 @dataclass(slots=True)
-class Ran:
+class WorkerRun:
     """One request that a worker worked on; times in monotonic seconds, 0 if not yet."""
 
     request_id: str
@@ -146,7 +146,7 @@
 
     Attributes
     ----------
-    ran : list of Ran
+    ran : list of WorkerRun
         Requests that it began to work on, in order.
     instance : str
         Its id.
@@ -161,7 +161,7 @@
     def __init__(self, settings: WorkerSettings | None = None) -> None:
         self.settings = settings or WorkerSettings()
         self.instance = f"i-{next(_numbers):08x}"
-        self.ran: list[Ran] = []
+        self.ran: list[WorkerRun] = []
         self.arrivals: list[Arrival] = []
         self.probes = 0
         self.dropped = 0
@@ -259,7 +259,7 @@
         finally:
             self._waiting -= 1
         self._running += 1
-        run = Ran(
+        run = WorkerRun(
             request_id,
             exchange.method,
             exchange.path,
@@ -292,7 +292,7 @@
     def _rest(self) -> list[Header]:
         return [Header("Retry-After", self.settings.rest)] if self.settings.rest else []
 
-    async def _run(self, exchange: Exchange, run: Ran, arrival: Arrival) -> None:
+    async def _run(self, exchange: Exchange, run: WorkerRun, arrival: Arrival) -> None:
         fault = self._next_fault()
         if fault is WorkerFault.EARLY:
             self._turn_away(exchange, arrival)
@@ -321,7 +321,7 @@
         draw = self.settings.draw_fault
         return WorkerFault.NONE if draw is None else draw()
 
-    async def _answer(self, exchange: Exchange, run: Ran, fault: WorkerFault) -> None:
+    async def _answer(self, exchange: Exchange, run: WorkerRun, fault: WorkerFault) -> None:
         body = f"{self.instance} ran {run.request_id}".encode()
         headers = [_id(run.request_id), Header("Response-Seal", f"seal-{run.request_id}")]
         headers += self._state()
--- a/tests/test_lab_checker.py
+++ b/tests/test_lab_checker.py
@@ -10,7 +10,7 @@
 from dunlinnotch.lab.fleet import Target
 from dunlinnotch.lab.scenario import Bounds, FaultKind, KindPlan, Scenario, ServicePlan
 from dunlinnotch.standins.users.caller import AttemptOutcome, AttemptRecord
-from dunlinnotch.standins.users.worker import Arrival, Ran
+from dunlinnotch.standins.users.worker import Arrival, WorkerRun
 
 SCENARIO = Scenario(
     boxes=2,
@@ -31,7 +31,7 @@
 
 def add_run(target, request_id, *, kind="lookup", arrived=10.0, path=None, method=None):
     method = method or ("GET" if kind == "lookup" else "POST")
-    run = Ran(request_id, method, path or f"/{kind}/1", b"", 1000, arrived=arrived)
+    run = WorkerRun(request_id, method, path or f"/{kind}/1", b"", 1000, arrived=arrived)
     target.worker.ran.append(run)
 
 
