--- a/dunlinnotch/lab/checker/common.py
+++ b/dunlinnotch/lab/checker/common.py
@@ -198,7 +198,7 @@
         self.kinds_by_name: dict[str, KindPlan] = {kind.name: kind for kind in self.scenario.kinds}
         self.runs_by_id: dict[str, list[tuple[Target, WorkerRun]]] = defaultdict(list)
         for target in observations.targets:
-            for run in target.worker.ran:
+            for run in target.worker.runs:
                 self.runs_by_id[run.request_id].append((target, run))
 
     def arrivals_by_box(self, target: Target) -> Iterator[tuple[Address, list[Arrival]]]:
--- a/dunlinnotch/lab/checker/settings.py
+++ b/dunlinnotch/lab/checker/settings.py
@@ -21,7 +21,7 @@
     for kind, route_changes in index.observations.route_changes.items():
         prefix = path_prefix(index.kinds_by_name[kind])
         for target in index.observations.targets:
-            for run in target.worker.ran:
+            for run in target.worker.runs:
                 if run.path.startswith(prefix):
                     yield from _check_run(index, kind, route_changes, target, run)
 
--- a/dunlinnotch/lab/checker/work.py
+++ b/dunlinnotch/lab/checker/work.py
@@ -82,7 +82,7 @@
         if target.leaving_at is None:
             continue
         limit = target.leaving_at + bounds.drain + TIMER_TOLERANCE_S
-        for run in target.worker.ran:
+        for run in target.worker.runs:
             delay_s = run.arrived - limit
             if delay_s > 0 and not index.has_unplanned_fault(
                 target.leaving_at - bounds.contact, limit
@@ -98,7 +98,7 @@
     crashes = sorted(
         (run.arrived, target.worker.instance)
         for target in index.observations.targets
-        for run in target.worker.ran
+        for run in target.worker.runs
         if run.request_id in ids
     )
     if len(crashes) <= _MAX_CRASHES:
--- a/dunlinnotch/standins/users/worker.py
+++ b/dunlinnotch/standins/users/worker.py
@@ -146,7 +146,7 @@
 
     Attributes
     ----------
-    ran : list of WorkerRun
+    runs : list of WorkerRun
         Requests that it began to work on, in order.
     instance : str
         Its id.
@@ -161,7 +161,7 @@
     def __init__(self, settings: WorkerSettings | None = None) -> None:
         self.settings = settings or WorkerSettings()
         self.instance = f"i-{next(_numbers):08x}"
-        self.ran: list[WorkerRun] = []
+        self.runs: list[WorkerRun] = []
         self.arrivals: list[Arrival] = []
         self.probes = 0
         self.dropped = 0
@@ -298,7 +298,7 @@
             self._turn_away(exchange, arrival)
             return
         run.body = b"".join([part async for part in exchange.body()])
-        self.ran.append(run)
+        self.runs.append(run)
         self.began.set()
         ends_under = self.settings.ends_under
         if ends_under is not None and ends_under(run.path):
--- a/tests/stream_world.py
+++ b/tests/stream_world.py
@@ -121,7 +121,7 @@
     @property
     def ran(self) -> list[str]:
         """Ids of all requests that workers have started to run."""
-        return [run.request_id for worker in self.workers for run in worker.ran]
+        return [run.request_id for worker in self.workers for run in worker.runs]
 
 
 @contextlib.asynccontextmanager
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -145,7 +145,7 @@
             row = {**backing_off.row("loans", zone="hall-a"), "born": 1_800_000_000_000}
             world.store.put("servers", backing_off.instance, row)
             await until(lambda: box.instances.find(backing_off.instance).listed.born)
-            while not backing_off.ran:
+            while not backing_off.runs:
                 await send_requests_for(box, 0.1)
 
     run(test)
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -40,7 +40,7 @@
             assert answer.headers["attempt-id"] == "one"
             assert answer.body == f"{world.workers[0].instance} ran one".encode()
             assert "instance-load" not in answer.headers
-            ran = world.workers[0].ran[0]
+            ran = world.workers[0].runs[0]
             assert (ran.method, ran.path) == ("GET", "/read/a?b=c")
             assert 0 < ran.deadline_ms <= 5000
 
@@ -59,7 +59,7 @@
             writer.write(b"5\r\nhello\r\n6\r\n world\r\n0\r\n\r\n")
             assert (await read_answer(reader)).status == 200
             writer.close()
-            assert [ran.body for ran in world.workers[0].ran] == [body, b"hello world"]
+            assert [ran.body for ran in world.workers[0].runs] == [body, b"hello world"]
 
     run(test)
 
@@ -189,7 +189,7 @@
             for number in range(8):
                 answer = await call(box, "/lend/", f"l{number}", method="POST", body=b"x")
                 assert answer.status == 200
-            assert saturated.ran == []
+            assert saturated.runs == []
             assert len(set(world.ran)) == len(world.ran) == 8
 
     run(test)
@@ -307,7 +307,7 @@
             await until(lambda: box.routes.table.version == 4)
             await until(lambda: box.instances.for_service("other"))
             assert (await call(box, "/read/", "moved")).status == 200
-            assert [r.request_id for r in other.ran] == ["moved"]
+            assert [r.request_id for r in other.runs] == ["moved"]
             world.store.put(
                 "servers", other.instance, other.row("other", zone="hall-a", state="draining")
             )
@@ -519,7 +519,7 @@
             answer = await call(box, path, "r1", method=method, body=body)
             assert answer.status in (200, 503)
             reached = {
-                worker.address: [run.request_id for run in worker.ran] for worker in world.workers
+                worker.address: [run.request_id for run in worker.runs] for worker in world.workers
             }
             assert reached[leaving_address[0]] == []
 
--- a/tests/test_lab_checker.py
+++ b/tests/test_lab_checker.py
@@ -25,14 +25,14 @@
 
 
 def make_target(name="t1", service="records", *, leaving_at=None, probes=0):
-    worker = SimpleNamespace(instance=name, ran=[], arrivals=[], probes=probes)
+    worker = SimpleNamespace(instance=name, runs=[], arrivals=[], probes=probes)
     return Target(worker, None, service, "hall-a", leaving_at=leaving_at)
 
 
 def add_run(target, request_id, *, kind="lookup", arrived=10.0, path=None, method=None):
     method = method or ("GET" if kind == "lookup" else "POST")
     run = WorkerRun(request_id, method, path or f"/{kind}/1", b"", 1000, arrived=arrived)
-    target.worker.ran.append(run)
+    target.worker.runs.append(run)
 
 
 def add_arrival(target, request_id, at=10.0, *, rest=0.0, leaving=False, given=0.0):
@@ -370,7 +370,7 @@
     target = make_target()
     for number, end in enumerate(ends):
         add_run(target, f"c{number}")
-        target.worker.ran[-1].ended = end
+        target.worker.runs[-1].ended = end
     abandoned = [
         make_attempt(f"c{n}", took=0.3, outcome=AttemptOutcome.LEFT) for n in range(len(ends))
     ]
--- a/tests/test_pause_detector.py
+++ b/tests/test_pause_detector.py
@@ -105,7 +105,7 @@
             await until(lambda: box.ready)
             await until(lambda: len(box.instances.for_service("loans")) == 1)
             assert (await call(box, "/read/a", "later")).status == 200
-            assert [run.request_id for run in staying.ran] == ["later"]
+            assert [run.request_id for run in staying.runs] == ["later"]
 
     with caplog.at_level("INFO"):
         run(test)
--- a/tests/test_users_contract.py
+++ b/tests/test_users_contract.py
@@ -60,7 +60,7 @@
             )
             for number in range(80):
                 await call(box, "/read/", f"s{number}")
-            assert 18 <= len(other.ran) <= 22
+            assert 18 <= len(other.runs) <= 22
 
     run(test)
 
@@ -94,7 +94,7 @@
             assert "early" not in world.ran
             later = await call(box, "/load/", "later", method="POST", body=body)
             assert later.status == 200
-            assert [run.body == body for run in worker.ran] == [True]
+            assert [run.body == body for run in worker.runs] == [True]
 
     run(test)
 
@@ -147,7 +147,7 @@
         writer.write(head("/x", "a", extra="Expect-Instance: i-other"))
         answer = await read_answer(reader)
         assert (answer.status, answer.headers["instance-id"]) == (421, worker.instance)
-        assert worker.ran == []
+        assert worker.runs == []
         writer.close()
         await worker.close()
 
