--- a/dunlinnotch/lab/fleet.py
+++ b/dunlinnotch/lab/fleet.py
@@ -183,7 +183,7 @@
 
     async def _replace_crashed(self, target: Target, service: ServicePlan) -> None:
         """Replace a target once it has crashed while running a request."""
-        await target.worker.ended.wait()
+        await target.worker.crashed.wait()
         if target.terminating:
             return
         target.terminating = True
--- a/dunlinnotch/standins/users/worker.py
+++ b/dunlinnotch/standins/users/worker.py
@@ -154,7 +154,7 @@
         All requests that reached it, in order.
     hold : asyncio.Event or None
         If set, work goes on until it is set.
-    ended : asyncio.Event
+    crashed : asyncio.Event
         Set once a request has ended it.
     """
 
@@ -168,7 +168,7 @@
         self.address = ""
         self.hold: asyncio.Event | None = None
         self.began = asyncio.Event()
-        self.ended = asyncio.Event()
+        self.crashed = asyncio.Event()
         self._running = 0
         self._waiting = 0
         self._slots = asyncio.Semaphore(self.settings.slots)
@@ -193,12 +193,12 @@
 
     async def _end(self) -> None:
         """End as a process does: nobody listens, and all connections are closed."""
-        self.ended.set()
+        self.crashed.set()
         await self.close()
 
     async def start_again(self) -> str:
         """Come back at the same address after an end; return the new id."""
-        self.ended.clear()
+        self.crashed.clear()
         await self.start(self.address)
         return self.replace()
 
--- a/tests/test_crashing.py
+++ b/tests/test_crashing.py
@@ -34,7 +34,7 @@
 
 def crash_count(world):
     """Return the number of targets that have crashed."""
-    return sum(worker.ended.is_set() for worker in world.workers)
+    return sum(worker.crashed.is_set() for worker in world.workers)
 
 
 async def send_worst(world, times, *, path=lambda number: WORST):
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -139,7 +139,7 @@
             first.settings.ends_under = lambda path: path.endswith("worst")
             answer = await call(box, "/lend/worst", "last", method="POST", body=b"x")
             assert answer.status == 502
-            assert first.ended.is_set()
+            assert first.crashed.is_set()
 
     with caplog.at_level("INFO"):
         run(test)
