--- a/dunlinnotch/lab/checker/work.py
+++ b/dunlinnotch/lab/checker/work.py
@@ -160,7 +160,7 @@
             late_runs += run.arrived > limit
             is_long = run.arrived <= limit < run.arrived + LONG_WORK_S
             long_runs += is_long
-            working_runs += is_long and not 0 < run.ended <= limit
+            working_runs += is_long and not 0 < run.ended_at <= limit
     if late_runs > _MAX_LATE_RUNS:
         yield Violation(
             Guarantee.CALLER_GONE,
--- a/dunlinnotch/standins/users/worker.py
+++ b/dunlinnotch/standins/users/worker.py
@@ -62,7 +62,7 @@
     body: bytes
     deadline_ms: int
     arrived: float = 0.0
-    ended: float = 0.0
+    ended_at: float = 0.0
     finished: bool = False
 
 
@@ -273,7 +273,7 @@
             self.dropped += 1
             raise
         finally:
-            run.ended = asyncio.get_running_loop().time()
+            run.ended_at = asyncio.get_running_loop().time()
             self._running -= 1
             self._slots.release()
 
--- a/tests/test_lab_checker.py
+++ b/tests/test_lab_checker.py
@@ -370,7 +370,7 @@
     target = make_target()
     for number, end in enumerate(ends):
         add_run(target, f"c{number}")
-        target.worker.runs[-1].ended = end
+        target.worker.runs[-1].ended_at = end
     abandoned = [
         make_attempt(f"c{n}", took=0.3, outcome=AttemptOutcome.LEFT) for n in range(len(ends))
     ]
