--- a/dunlinnotch/lab/checker/settings.py
+++ b/dunlinnotch/lab/checker/settings.py
@@ -41,11 +41,11 @@
     attempt = index.attempts_by_id.get(run.request_id)
     if attempt is None:
         return
-    allowed = {service for at, service in route_changes if at <= run.arrived}
+    allowed = {service for at, service in route_changes if at <= run.arrived_at}
     for (_, old_service), (changed_at, _) in zip(route_changes, route_changes[1:], strict=False):
         limit = changed_at + index.scenario.bounds.apply + TIMER_TOLERANCE_S
         newer_services = [
-            service for at, service in route_changes if changed_at <= at <= run.arrived
+            service for at, service in route_changes if changed_at <= at <= run.arrived_at
         ]
         excused = index.has_unplanned_fault(
             changed_at - index.scenario.bounds.contact, attempt.sent
--- a/dunlinnotch/lab/checker/work.py
+++ b/dunlinnotch/lab/checker/work.py
@@ -83,7 +83,7 @@
             continue
         limit = target.leaving_at + bounds.drain + TIMER_TOLERANCE_S
         for run in target.worker.runs:
-            delay_s = run.arrived - limit
+            delay_s = run.arrived_at - limit
             if delay_s > 0 and not index.has_unplanned_fault(
                 target.leaving_at - bounds.contact, limit
             ):
@@ -96,7 +96,7 @@
     contact = index.scenario.bounds.contact
     ids = {attempt.id for attempt in index.observations.crashing}
     crashes = sorted(
-        (run.arrived, target.worker.instance)
+        (run.arrived_at, target.worker.instance)
         for target in index.observations.targets
         for run in target.worker.runs
         if run.request_id in ids
@@ -157,8 +157,8 @@
         ):
             continue
         for _, run in index.runs_by_id[attempt.id]:
-            late_runs += run.arrived > limit
-            is_long = run.arrived <= limit < run.arrived + LONG_WORK_S
+            late_runs += run.arrived_at > limit
+            is_long = run.arrived_at <= limit < run.arrived_at + LONG_WORK_S
             long_runs += is_long
             working_runs += is_long and not 0 < run.ended_at <= limit
     if late_runs > _MAX_LATE_RUNS:
--- a/dunlinnotch/standins/users/worker.py
+++ b/dunlinnotch/standins/users/worker.py
@@ -61,7 +61,7 @@
     path: str
     body: bytes
     deadline_ms: int
-    arrived: float = 0.0
+    arrived_at: float = 0.0
     ended_at: float = 0.0
     finished: bool = False
 
--- a/tests/test_lab_checker.py
+++ b/tests/test_lab_checker.py
@@ -31,7 +31,7 @@
 
 def add_run(target, request_id, *, kind="lookup", arrived=10.0, path=None, method=None):
     method = method or ("GET" if kind == "lookup" else "POST")
-    run = WorkerRun(request_id, method, path or f"/{kind}/1", b"", 1000, arrived=arrived)
+    run = WorkerRun(request_id, method, path or f"/{kind}/1", b"", 1000, arrived_at=arrived)
     target.worker.runs.append(run)
 
 
