--- a/dunlinnotch/standins/users/worker.py
+++ b/dunlinnotch/standins/users/worker.py
@@ -152,7 +152,7 @@
         Its id.
     arrivals : list of Arrival
         All requests that reached it, in order.
-    hold : asyncio.Event or None
+    resume : asyncio.Event or None
         If set, work goes on until it is set.
     crashed : asyncio.Event
         Set once a request has ended it.
@@ -166,7 +166,7 @@
         self.probes = 0
         self.dropped = 0
         self.address = ""
-        self.hold: asyncio.Event | None = None
+        self.resume: asyncio.Event | None = None
         self.began = asyncio.Event()
         self.crashed = asyncio.Event()
         self._running = 0
@@ -304,8 +304,8 @@
         if ends_under is not None and ends_under(run.path):
             await self._end()
             return
-        if self.hold is not None:
-            await self.hold.wait()
+        if self.resume is not None:
+            await self.resume.wait()
         work_of = self.settings.work_of
         work_s = self.settings.work_s if work_of is None else work_of(run.path)
         if work_s:
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -184,7 +184,7 @@
             box = world.boxes[0]
             await until(lambda: len(box.instances.for_service("loans")) == 2)
             saturated = world.workers[1]
-            saturated.hold = asyncio.Event()
+            saturated.resume = asyncio.Event()
             saturated.settings.queue = -1  # refuses all requests, whatever load it reports
             for number in range(8):
                 answer = await call(box, "/lend/", f"l{number}", method="POST", body=b"x")
@@ -213,7 +213,7 @@
     async def test():
         async with stream_world() as world:
             worker = world.workers[0]
-            worker.hold = asyncio.Event()
+            worker.resume = asyncio.Event()
             _, writer = await connect(world.boxes[0])
             writer.write(head("/read/", "gone"))
             await until(lambda: world.ran == ["gone"])
@@ -228,7 +228,7 @@
     async def test():
         async with stream_world() as world:
             worker = world.workers[0]
-            worker.hold = asyncio.Event()
+            worker.resume = asyncio.Event()
             answer = await call(world.boxes[0], "/read/", "late", deadline_ms=150)
             assert answer.status == 504
             await until(lambda: worker.dropped == 1)
@@ -242,7 +242,7 @@
             worker = await world.add_worker(WorkerSettings(slots=1, queue=1, hangs_when_full=True))
             box = world.boxes[0]
             await until(lambda: box.instances.for_service("loans"))
-            worker.hold = asyncio.Event()
+            worker.resume = asyncio.Event()
             held = [asyncio.create_task(call(box, "/read/", "held"))]
             await until(lambda: len(worker.arrivals) == 1)
             # The queue of the target has room, but boxes do not let requests wait at targets.
@@ -250,7 +250,7 @@
             assert answer.status == 503
             assert float(answer.headers["retry-after"]) > 0
             assert len(worker.arrivals) == 1
-            worker.hold.set()
+            worker.resume.set()
             assert {a.status for a in await asyncio.gather(*held)} == {200}
 
     run(test)
@@ -372,12 +372,12 @@
     async def test():
         async with stream_world() as world:
             box, worker = world.boxes[0], world.workers[0]
-            worker.hold = asyncio.Event()
+            worker.resume = asyncio.Event()
             held = asyncio.create_task(call(box, "/lend/", "held", method="POST", body=b"x"))
             await until(lambda: world.ran == ["held"])
             world.store.put("servers", worker.instance, b"bad")
             await until(lambda: not box.instances.for_service("loans"))
-            worker.hold.set()
+            worker.resume.set()
             assert (await held).status == 200
 
     run(test)
@@ -451,7 +451,7 @@
         async with stream_world(boxes=2) as world:
             leaving, other = world.boxes
             worker = world.workers[0]
-            worker.hold = asyncio.Event()
+            worker.resume = asyncio.Event()
             held = asyncio.create_task(call(leaving, "/lend/", "held", method="POST", body=b"x"))
             await until(lambda: world.ran == ["held"])
             idle_reader, idle_writer = await connect(leaving)
@@ -463,7 +463,7 @@
             late = await read_answer(idle_reader)
             assert (late.status, late.headers["connection"]) == (503, "close")
             assert "retry-after" in late.headers
-            worker.hold.set()
+            worker.resume.set()
             answer = await held
             assert answer.status == 200
             await world.tasks[0]
@@ -482,7 +482,7 @@
     async def test():
         async with stream_world(boxes=0) as world:
             box = await world.add_box(grace=1.0)
-            world.workers[0].hold = asyncio.Event()
+            world.workers[0].resume = asyncio.Event()
             body = b"x" if method == "POST" else b""
             held = asyncio.create_task(call(box, path, "mute", method=method, body=body))
             await until(lambda: world.ran == ["mute"])
