--- a/dunlinnotch/standins/users/worker.py
+++ b/dunlinnotch/standins/users/worker.py
@@ -167,7 +167,7 @@
         self.dropped = 0
         self.address = ""
         self.resume: asyncio.Event | None = None
-        self.began = asyncio.Event()
+        self.run_started = asyncio.Event()
         self.crashed = asyncio.Event()
         self._running = 0
         self._waiting = 0
@@ -299,7 +299,7 @@
             return
         run.body = b"".join([part async for part in exchange.body()])
         self.runs.append(run)
-        self.began.set()
+        self.run_started.set()
         ends_under = self.settings.ends_under
         if ends_under is not None and ends_under(run.path):
             await self._end()
