--- a/dunlinnotch/standins/users/worker.py
+++ b/dunlinnotch/standins/users/worker.py
@@ -164,7 +164,7 @@
         self.runs: list[WorkerRun] = []
         self.arrivals: list[Arrival] = []
         self.probes = 0
-        self.dropped = 0
+        self.cancelled = 0
         self.address = ""
         self.resume: asyncio.Event | None = None
         self.run_started = asyncio.Event()
@@ -270,7 +270,7 @@
         try:
             await self._run(exchange, run, arrival)
         except (asyncio.CancelledError, BodyCutError):
-            self.dropped += 1
+            self.cancelled += 1
             raise
         finally:
             run.ended_at = asyncio.get_running_loop().time()
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -218,7 +218,7 @@
             writer.write(head("/read/", "gone"))
             await until(lambda: world.ran == ["gone"])
             writer.close()
-            await until(lambda: worker.dropped == 1)
+            await until(lambda: worker.cancelled == 1)
             assert world.boxes[0].forwarder.in_flight == 0
 
     run(test)
@@ -231,7 +231,7 @@
             worker.resume = asyncio.Event()
             answer = await call(world.boxes[0], "/read/", "late", deadline_ms=150)
             assert answer.status == 504
-            await until(lambda: worker.dropped == 1)
+            await until(lambda: worker.cancelled == 1)
 
     run(test)
 
