--- a/dunlinnotch/standins/users/worker.py
+++ b/dunlinnotch/standins/users/worker.py
@@ -196,7 +196,7 @@
         self.crashed.set()
         await self.close()
 
-    async def start_again(self) -> str:
+    async def restart(self) -> str:
         """Come back at the same address after an end; return the new id."""
         self.crashed.clear()
         await self.start(self.address)
--- a/tests/test_crash_guard.py
+++ b/tests/test_crash_guard.py
@@ -137,7 +137,7 @@
             for _ in range(QUARANTINE_THRESHOLD - 1):
                 assert (await call(box, WORST, "worst")).status == 502
                 old_instance = worker.instance
-                await worker.start_again()
+                await worker.restart()
                 world.store.remove("servers", old_instance)
                 row = worker.row("loans", zone="hall-a")
                 world.store.put("servers", worker.instance, row)
