--- a/dunlinnotch/standins/users/worker.py
+++ b/dunlinnotch/standins/users/worker.py
@@ -200,9 +200,9 @@
         """Come back at the same address after an end; return the new id."""
         self.crashed.clear()
         await self.start(self.address)
-        return self.replace()
+        return self.replace_instance()
 
-    def replace(self) -> str:
+    def replace_instance(self) -> str:
         """Have another worker take over the address; return its id."""
         self.instance = f"i-{next(_numbers):08x}"
         return self.instance
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -200,7 +200,7 @@
         async with stream_world() as world:
             box = world.boxes[0]
             assert (await call(box, "/lend/", "a", method="POST", body=b"x")).status == 200
-            world.workers[0].replace()
+            world.workers[0].replace_instance()
             answer = await call(box, "/lend/", "b", method="POST", body=b"x")
             assert answer.status == 503
             assert float(answer.headers["retry-after"]) > 0
