--- a/dunlinnotch/standins/users/worker.py
+++ b/dunlinnotch/standins/users/worker.py
@@ -77,7 +77,7 @@
         Monotonic seconds; ``answered_at`` is 0 until there is an answer.
     given : float
         Seconds that the worker was given for it.
-    turned_away : bool
+    rejected : bool
         Whether it was not run.
     rest : float
         Seconds of rest asked for.
@@ -89,7 +89,7 @@
     at: float
     answered_at: float = 0.0
     given: float = 0.0
-    turned_away: bool = False
+    rejected: bool = False
     rest: float = 0.0
     said_leaving: bool = False
 
@@ -281,7 +281,7 @@
         headers = [Header("Not-Executed", "1"), _id(arrival.request_id), *self._state()]
         exchange.reply(503, headers + self._rest(), b"")
         self._note_answer(arrival)
-        arrival.turned_away = True
+        arrival.rejected = True
         with contextlib.suppress(ValueError):  # Some ask for what is no time.
             arrival.rest = max(0.0, float(self.settings.rest))
 
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -60,7 +60,7 @@
 
 def refusals(worker):
     """Return when a worker refused requests."""
-    return [arrival.answered_at for arrival in worker.arrivals if arrival.turned_away]
+    return [arrival.answered_at for arrival in worker.arrivals if arrival.rejected]
 
 
 def test_target_in_backoff_gets_no_requests_until_it_ends():
