--- a/dunlinnotch/lab/checker/work.py
+++ b/dunlinnotch/lab/checker/work.py
@@ -177,15 +177,15 @@
 ) -> Iterator[Violation]:
     """Check that a box sends nothing to a target during the back-off requested from it."""
     for refusal in arrivals:
-        if not refusal.rest:
+        if not refusal.backoff:
             continue
-        end = refusal.answered_at + refusal.rest
+        end = refusal.answered_at + refusal.backoff
         start = refusal.answered_at + _IN_FLIGHT_S
         received = sum(start < arrival.at < end for arrival in arrivals)
         if received > _MAX_DURING_BACKOFF and not index.has_fault(
             BOX_OR_LINK_FAULTS, refusal.answered_at, end
         ):
-            detail = f"received {received} requests from {box} in {refusal.rest:g} s of back-off"
+            detail = f"received {received} requests from {box} in {refusal.backoff:g} s of back-off"
             yield Violation(Guarantee.BACKOFF, target.worker.instance, detail)
 
 
--- a/dunlinnotch/standins/users/worker.py
+++ b/dunlinnotch/standins/users/worker.py
@@ -79,7 +79,7 @@
         Seconds that the worker was given for it.
     rejected : bool
         Whether it was not run.
-    rest : float
+    backoff : float
         Seconds of rest asked for.
     said_leaving : bool
         Whether the answer said that the worker leaves.
@@ -90,7 +90,7 @@
     answered_at: float = 0.0
     given: float = 0.0
     rejected: bool = False
-    rest: float = 0.0
+    backoff: float = 0.0
     said_leaving: bool = False
 
 
@@ -283,7 +283,7 @@
         self._note_answer(arrival)
         arrival.rejected = True
         with contextlib.suppress(ValueError):  # Some ask for what is no time.
-            arrival.rest = max(0.0, float(self.settings.rest))
+            arrival.backoff = max(0.0, float(self.settings.rest))
 
     def _note_answer(self, arrival: Arrival) -> None:
         arrival.answered_at = asyncio.get_running_loop().time()
