--- a/dunlinnotch/lab/checker/work.py
+++ b/dunlinnotch/lab/checker/work.py
@@ -194,7 +194,7 @@
 ) -> Iterator[Violation]:
     """Check that a box sends nothing to a target that announced in an answer that it leaves."""
     announced_at: Seconds | None = min(
-        (a.answered_at for a in arrivals if a.said_leaving), default=None
+        (a.answered_at for a in arrivals if a.announced_leaving), default=None
     )
     if announced_at is None:
         return
--- a/dunlinnotch/standins/users/worker.py
+++ b/dunlinnotch/standins/users/worker.py
@@ -81,7 +81,7 @@
         Whether it was not run.
     backoff : float
         Seconds of rest asked for.
-    said_leaving : bool
+    announced_leaving : bool
         Whether the answer said that the worker leaves.
     """
 
@@ -91,7 +91,7 @@
     given: float = 0.0
     rejected: bool = False
     backoff: float = 0.0
-    said_leaving: bool = False
+    announced_leaving: bool = False
 
 
 @dataclass(slots=True)
@@ -287,7 +287,7 @@
 
     def _note_answer(self, arrival: Arrival) -> None:
         arrival.answered_at = asyncio.get_running_loop().time()
-        arrival.said_leaving = self.settings.leaving
+        arrival.announced_leaving = self.settings.leaving
 
     def _rest(self) -> list[Header]:
         return [Header("Retry-After", self.settings.rest)] if self.settings.rest else []
