--- a/dunlinnotch/lab/checker/work.py
+++ b/dunlinnotch/lab/checker/work.py
@@ -137,10 +137,10 @@
             continue
         first = min(arrivals, key=lambda arrival: arrival.at)
         for arrival in arrivals:
-            excess_s = arrival.given - (attempt.until - attempt.sent)
+            excess_s = arrival.time_limit - (attempt.until - attempt.sent)
             if arrival.at > first.at + _RETRY_GAP_S:
-                end = max(first.at + first.given, attempt.until)
-                excess_s = max(excess_s, arrival.at + arrival.given - end)
+                end = max(first.at + first.time_limit, attempt.until)
+                excess_s = max(excess_s, arrival.at + arrival.time_limit - end)
             if excess_s > _TIME_TOLERANCE_S:
                 detail = f"a target was given {excess_s:.2f} s more than its caller has left"
                 yield Violation(Guarantee.TIME_LIMIT, request_id, detail)
--- a/dunlinnotch/standins/users/worker.py
+++ b/dunlinnotch/standins/users/worker.py
@@ -75,7 +75,7 @@
     request_id : str
     at, answered_at : float
         Monotonic seconds; ``answered_at`` is 0 until there is an answer.
-    given : float
+    time_limit : float
         Seconds that the worker was given for it.
     rejected : bool
         Whether it was not run.
@@ -88,7 +88,7 @@
     request_id: str
     at: float
     answered_at: float = 0.0
-    given: float = 0.0
+    time_limit: float = 0.0
     rejected: bool = False
     backoff: float = 0.0
     announced_leaving: bool = False
@@ -239,7 +239,7 @@
             return
         request_id = exchange.header("attempt-id") or ""
         given_ms = int(exchange.header("deadline-ms") or 0)
-        arrival = Arrival(request_id, exchange.arrived, given=given_ms / 1000)
+        arrival = Arrival(request_id, exchange.arrived, time_limit=given_ms / 1000)
         self.arrivals.append(arrival)
         expected = exchange.header("expect-instance")
         if expected is not None and expected != self.instance:
