--- a/dunlinnotch/lab/checker/budgets.py
+++ b/dunlinnotch/lab/checker/budgets.py
@@ -68,7 +68,7 @@
     """Return, for each service, when requests arrived that had reached a target before."""
     first_arrivals: dict[str, Seconds] = {}
     arrivals = sorted(
-        (arrival.at, target.service, arrival.request_id)
+        (arrival.arrived_at, target.service, arrival.request_id)
         for target in index.observations.targets
         for arrival in target.worker.arrivals
     )
--- a/dunlinnotch/lab/checker/work.py
+++ b/dunlinnotch/lab/checker/work.py
@@ -135,12 +135,12 @@
             attempt.sent - index.scenario.bounds.contact, attempt.until
         ):
             continue
-        first = min(arrivals, key=lambda arrival: arrival.at)
+        first = min(arrivals, key=lambda arrival: arrival.arrived_at)
         for arrival in arrivals:
             excess_s = arrival.time_limit - (attempt.until - attempt.sent)
-            if arrival.at > first.at + _RETRY_GAP_S:
-                end = max(first.at + first.time_limit, attempt.until)
-                excess_s = max(excess_s, arrival.at + arrival.time_limit - end)
+            if arrival.arrived_at > first.arrived_at + _RETRY_GAP_S:
+                end = max(first.arrived_at + first.time_limit, attempt.until)
+                excess_s = max(excess_s, arrival.arrived_at + arrival.time_limit - end)
             if excess_s > _TIME_TOLERANCE_S:
                 detail = f"a target was given {excess_s:.2f} s more than its caller has left"
                 yield Violation(Guarantee.TIME_LIMIT, request_id, detail)
@@ -181,7 +181,7 @@
             continue
         end = refusal.answered_at + refusal.backoff
         start = refusal.answered_at + _IN_FLIGHT_S
-        received = sum(start < arrival.at < end for arrival in arrivals)
+        received = sum(start < arrival.arrived_at < end for arrival in arrivals)
         if received > _MAX_DURING_BACKOFF and not index.has_fault(
             BOX_OR_LINK_FAULTS, refusal.answered_at, end
         ):
@@ -201,7 +201,9 @@
     limit = announced_at + index.scenario.bounds.drain + TIMER_TOLERANCE_S
     for arrival in arrivals:
         sent = index.attempts_by_id[arrival.request_id].sent
-        if sent > limit and not index.has_fault(BOX_OR_LINK_FAULTS, announced_at, arrival.at):
+        if sent > limit and not index.has_fault(
+            BOX_OR_LINK_FAULTS, announced_at, arrival.arrived_at
+        ):
             detail = (
                 f"{arrival.request_id} came from {box} {sent - announced_at:.2f} s after the "
                 "target announced that it leaves"
--- a/dunlinnotch/standins/users/worker.py
+++ b/dunlinnotch/standins/users/worker.py
@@ -73,7 +73,7 @@
     Parameters
     ----------
     request_id : str
-    at, answered_at : float
+    arrived_at, answered_at : float
         Monotonic seconds; ``answered_at`` is 0 until there is an answer.
     time_limit : float
         Seconds that the worker was given for it.
@@ -86,7 +86,7 @@
     """
 
     request_id: str
-    at: float
+    arrived_at: float
     answered_at: float = 0.0
     time_limit: float = 0.0
     rejected: bool = False
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -51,7 +51,7 @@
     """Return the largest number of requests that reached a worker during one back-off."""
     return max(
         sum(
-            refused_at + MESSAGE_DELAY_S < arrival.at < refused_at + duration
+            refused_at + MESSAGE_DELAY_S < arrival.arrived_at < refused_at + duration
             for arrival in worker.arrivals
         )
         for refused_at in refusals(worker)
