--- a/dunlinnotch/standins/users/worker.py
+++ b/dunlinnotch/standins/users/worker.py
@@ -120,7 +120,7 @@
         Whether it says in all its answers that it leaves.
     refuses_probes : bool, default False
         Whether it turns probes away as it does requests, without its id.
-    rest : str, default ""
+    retry_after : str, default ""
         Rest that it asks for as it turns a request away, as in ``Retry-After``.
     """
 
@@ -138,7 +138,7 @@
     turns_away: Callable[[], bool] | None = None
     leaving: bool = False
     refuses_probes: bool = False
-    rest: str = ""
+    retry_after: str = ""
 
 
 class WorkerStandin:
@@ -283,14 +283,16 @@
         self._note_answer(arrival)
         arrival.rejected = True
         with contextlib.suppress(ValueError):  # Some ask for what is no time.
-            arrival.backoff = max(0.0, float(self.settings.rest))
+            arrival.backoff = max(0.0, float(self.settings.retry_after))
 
     def _note_answer(self, arrival: Arrival) -> None:
         arrival.answered_at = asyncio.get_running_loop().time()
         arrival.announced_leaving = self.settings.leaving
 
     def _rest(self) -> list[Header]:
-        return [Header("Retry-After", self.settings.rest)] if self.settings.rest else []
+        return (
+            [Header("Retry-After", self.settings.retry_after)] if self.settings.retry_after else []
+        )
 
     async def _run(self, exchange: Exchange, run: WorkerRun, arrival: Arrival) -> None:
         fault = self._next_fault()
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -40,7 +40,7 @@
 async def add_worker_in_backoff(world):
     """Add a worker to one other; return it once it has requested 30 s of back-off."""
     box = world.boxes[0]
-    backing_off = await world.add_worker(WorkerSettings(turns_away=lambda: True, rest="30"))
+    backing_off = await world.add_worker(WorkerSettings(turns_away=lambda: True, retry_after="30"))
     await until(lambda: len(box.instances.for_service("loans")) == 2)
     while not refusals(backing_off):
         await send_requests_for(box, 0.1)
@@ -67,7 +67,7 @@
     async def test():
         async with stream_world(workers=2) as world:
             backing_off = await world.add_worker(
-                WorkerSettings(turns_away=lambda: True, rest="1.5")
+                WorkerSettings(turns_away=lambda: True, retry_after="1.5")
             )
             await until(lambda: len(world.boxes[0].instances.for_service("loans")) == 3)
             answers = await send_requests_for(world.boxes[0], 2 * BACKOFF_S)
@@ -83,7 +83,7 @@
     async def test():
         async with stream_world(workers=1) as world:
             backing_off = await world.add_worker(
-                WorkerSettings(turns_away=lambda: True, rest="1.5")
+                WorkerSettings(turns_away=lambda: True, retry_after="1.5")
             )
             await until(lambda: len(world.boxes[0].instances.for_service("loans")) == 2)
             await asyncio.gather(
@@ -107,7 +107,7 @@
     async def test():
         async with stream_world(workers=0) as world:
             for rest in ("30", "20.5"):
-                await world.add_worker(WorkerSettings(turns_away=lambda: True, rest=rest))
+                await world.add_worker(WorkerSettings(turns_away=lambda: True, retry_after=rest))
             await until(lambda: len(world.boxes[0].instances.for_service("loans")) == 2)
             # The first request learns of both back-offs; the second need not try a target.
             await call(world.boxes[0], "/read/a", "first")
@@ -157,7 +157,7 @@
         async with stream_world(workers=0) as world:
             world.store.put("op", "config", document(2, **{"max-attempts": 9}))
             for _ in range(3):
-                await world.add_worker(WorkerSettings(turns_away=lambda: True, rest="30"))
+                await world.add_worker(WorkerSettings(turns_away=lambda: True, retry_after="30"))
             box = world.boxes[0]
             await until(lambda: len(box.instances.for_service("loans")) == 3)
             await until(lambda: box.routes.table.version == 2)
@@ -172,7 +172,9 @@
     async def test():
         async with stream_world(workers=1) as world:
             box = world.boxes[0]
-            backing_off = await world.add_worker(WorkerSettings(refuses_probes=True, rest="30"))
+            backing_off = await world.add_worker(
+                WorkerSettings(refuses_probes=True, retry_after="30")
+            )
             await until(lambda: len(box.instances.for_service("loans")) == 2)
             while not backing_off.probes:
                 await send_requests_for(box, 0.1)
