--- a/dunlinnotch/lab/faults.py
+++ b/dunlinnotch/lab/faults.py
@@ -176,13 +176,13 @@
         targets = self._sample_targets(plan)
         request_backoff = plan.kind is FaultKind.TARGET_RESTS
         for target in targets:
-            target.worker.settings.turns_away = lambda: self._rng.random() < plan.x
+            target.worker.settings.rejects_next = lambda: self._rng.random() < plan.x
             target.worker.settings.retry_after = (
                 self._rng.choice(_BACKOFF_VALUES) if request_backoff else ""
             )
         await asyncio.sleep(plan.for_s)
         for target in targets:
-            target.worker.settings.turns_away = None
+            target.worker.settings.rejects_next = None
             target.worker.settings.retry_after = ""
 
     async def _fail_health_checks(self, plan: FaultPlan) -> None:
--- a/dunlinnotch/standins/users/worker.py
+++ b/dunlinnotch/standins/users/worker.py
@@ -114,7 +114,7 @@
         Returns what is wrong with the next answer once ``faults`` is used up.
     ends_under : callable, optional
         Given a path, returns whether a request for it ends the worker that runs it.
-    turns_away : callable, optional
+    rejects_next : callable, optional
         Returns whether the next request is turned away though there is room for it.
     leaving : bool, default False
         Whether it says in all its answers that it leaves.
@@ -135,7 +135,7 @@
     work_of: Callable[[str], float] | None = None
     draw_fault: Callable[[], WorkerFault] | None = None
     ends_under: Callable[[str], bool] | None = None
-    turns_away: Callable[[], bool] | None = None
+    rejects_next: Callable[[], bool] | None = None
     leaving: bool = False
     refuses_probes: bool = False
     retry_after: str = ""
@@ -250,7 +250,7 @@
                 await asyncio.sleep(_FOREVER_S)
             self._turn_away(exchange, arrival)
             return
-        if self.settings.turns_away is not None and self.settings.turns_away():
+        if self.settings.rejects_next is not None and self.settings.rejects_next():
             self._turn_away(exchange, arrival)
             return
         self._waiting += 1
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -40,7 +40,9 @@
 async def add_worker_in_backoff(world):
     """Add a worker to one other; return it once it has requested 30 s of back-off."""
     box = world.boxes[0]
-    backing_off = await world.add_worker(WorkerSettings(turns_away=lambda: True, retry_after="30"))
+    backing_off = await world.add_worker(
+        WorkerSettings(rejects_next=lambda: True, retry_after="30")
+    )
     await until(lambda: len(box.instances.for_service("loans")) == 2)
     while not refusals(backing_off):
         await send_requests_for(box, 0.1)
@@ -67,7 +69,7 @@
     async def test():
         async with stream_world(workers=2) as world:
             backing_off = await world.add_worker(
-                WorkerSettings(turns_away=lambda: True, retry_after="1.5")
+                WorkerSettings(rejects_next=lambda: True, retry_after="1.5")
             )
             await until(lambda: len(world.boxes[0].instances.for_service("loans")) == 3)
             answers = await send_requests_for(world.boxes[0], 2 * BACKOFF_S)
@@ -83,7 +85,7 @@
     async def test():
         async with stream_world(workers=1) as world:
             backing_off = await world.add_worker(
-                WorkerSettings(turns_away=lambda: True, retry_after="1.5")
+                WorkerSettings(rejects_next=lambda: True, retry_after="1.5")
             )
             await until(lambda: len(world.boxes[0].instances.for_service("loans")) == 2)
             await asyncio.gather(
@@ -107,7 +109,7 @@
     async def test():
         async with stream_world(workers=0) as world:
             for rest in ("30", "20.5"):
-                await world.add_worker(WorkerSettings(turns_away=lambda: True, retry_after=rest))
+                await world.add_worker(WorkerSettings(rejects_next=lambda: True, retry_after=rest))
             await until(lambda: len(world.boxes[0].instances.for_service("loans")) == 2)
             # The first request learns of both back-offs; the second need not try a target.
             await call(world.boxes[0], "/read/a", "first")
@@ -141,7 +143,7 @@
         async with stream_world(workers=1) as world:
             box = world.boxes[0]
             backing_off = await add_worker_in_backoff(world)
-            backing_off.settings.turns_away = None
+            backing_off.settings.rejects_next = None
             row = {**backing_off.row("loans", zone="hall-a"), "born": 1_800_000_000_000}
             world.store.put("servers", backing_off.instance, row)
             await until(lambda: box.instances.find(backing_off.instance).listed.born)
@@ -157,7 +159,7 @@
         async with stream_world(workers=0) as world:
             world.store.put("op", "config", document(2, **{"max-attempts": 9}))
             for _ in range(3):
-                await world.add_worker(WorkerSettings(turns_away=lambda: True, retry_after="30"))
+                await world.add_worker(WorkerSettings(rejects_next=lambda: True, retry_after="30"))
             box = world.boxes[0]
             await until(lambda: len(box.instances.for_service("loans")) == 3)
             await until(lambda: box.routes.table.version == 2)
@@ -188,7 +190,7 @@
 def test_target_that_refuses_everything_without_backoff_is_ejected():
     async def test():
         async with stream_world(workers=2) as world:
-            refusing = await world.add_worker(WorkerSettings(turns_away=lambda: True))
+            refusing = await world.add_worker(WorkerSettings(rejects_next=lambda: True))
             await until(lambda: len(world.boxes[0].instances.for_service("loans")) == 3)
             answers = await send_requests_for(world.boxes[0], 2.0)
             assert {answer.status for answer in answers} == {200}
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -531,7 +531,7 @@
         async with stream_world(workers=0) as world:
             caplog.set_level("INFO")
             world.store.put("op", "config", document(2, **{"max-attempts": 1}))
-            await world.add_worker(WorkerSettings(turns_away=lambda: True, retry_after="2.5"))
+            await world.add_worker(WorkerSettings(rejects_next=lambda: True, retry_after="2.5"))
             await until(lambda: world.boxes[0].instances.for_service("loans"))
             await until(lambda: world.boxes[0].routes.table.version == 2)
             await call(world.boxes[0], "/read/a", "one")
