--- a/dunlinnotch/standins/users/worker.py
+++ b/dunlinnotch/standins/users/worker.py
@@ -118,7 +118,7 @@
         Returns whether the next request is turned away though there is room for it.
     leaving : bool, default False
         Whether it says in all its answers that it leaves.
-    refuses_probes : bool, default False
+    rejects_probes : bool, default False
         Whether it turns probes away as it does requests, without its id.
     retry_after : str, default ""
         Rest that it asks for as it turns a request away, as in ``Retry-After``.
@@ -137,7 +137,7 @@
     ends_under: Callable[[str], bool] | None = None
     rejects_next: Callable[[], bool] | None = None
     leaving: bool = False
-    refuses_probes: bool = False
+    rejects_probes: bool = False
     retry_after: str = ""
 
 
@@ -231,7 +231,7 @@
     async def _serve(self, exchange: Exchange) -> None:
         if exchange.header("attempt-id") is None and exchange.path == "/health":
             self.probes += 1
-            if self.settings.refuses_probes:
+            if self.settings.rejects_probes:
                 exchange.reply(503, [Header("Not-Executed", "1"), *self._rest()], b"")
                 return
             status = 200 if self.settings.healthy else 503
--- a/tests/test_backoff.py
+++ b/tests/test_backoff.py
@@ -175,7 +175,7 @@
         async with stream_world(workers=1) as world:
             box = world.boxes[0]
             backing_off = await world.add_worker(
-                WorkerSettings(refuses_probes=True, retry_after="30")
+                WorkerSettings(rejects_probes=True, retry_after="30")
             )
             await until(lambda: len(box.instances.for_service("loans")) == 2)
             while not backing_off.probes:
