--- a/dunlinnotch/lab/fleet.py
+++ b/dunlinnotch/lab/fleet.py
@@ -170,7 +170,7 @@
             queue=service.queue,
             hangs_when_full=service.hangs,
             work_of=self._work_time,
-            ends_under=crashes_target,
+            crashes_on=crashes_target,
         )
         worker = WorkerStandin(settings)
         await worker.start()
--- a/dunlinnotch/standins/users/worker.py
+++ b/dunlinnotch/standins/users/worker.py
@@ -112,7 +112,7 @@
         Given a path, returns the work in seconds; ``work_s`` for all if left out.
     draw_fault : callable, optional
         Returns what is wrong with the next answer once ``faults`` is used up.
-    ends_under : callable, optional
+    crashes_on : callable, optional
         Given a path, returns whether a request for it ends the worker that runs it.
     rejects_next : callable, optional
         Returns whether the next request is turned away though there is room for it.
@@ -134,7 +134,7 @@
     faults: list[WorkerFault] = field(default_factory=list)
     work_of: Callable[[str], float] | None = None
     draw_fault: Callable[[], WorkerFault] | None = None
-    ends_under: Callable[[str], bool] | None = None
+    crashes_on: Callable[[str], bool] | None = None
     rejects_next: Callable[[], bool] | None = None
     leaving: bool = False
     rejects_probes: bool = False
@@ -302,8 +302,8 @@
         run.body = b"".join([part async for part in exchange.body()])
         self.runs.append(run)
         self.run_started.set()
-        ends_under = self.settings.ends_under
-        if ends_under is not None and ends_under(run.path):
+        crashes_on = self.settings.crashes_on
+        if crashes_on is not None and crashes_on(run.path):
             await self._end()
             return
         if self.resume is not None:
--- a/tests/test_crash_guard.py
+++ b/tests/test_crash_guard.py
@@ -132,7 +132,7 @@
     async def test():
         async with stream_world(workers=0) as world:
             box = world.boxes[0]
-            worker = await world.add_worker(WorkerSettings(ends_under=lambda path: path == WORST))
+            worker = await world.add_worker(WorkerSettings(crashes_on=lambda path: path == WORST))
             await until(lambda: box.instances.for_service("loans"))
             for _ in range(QUARANTINE_THRESHOLD - 1):
                 assert (await call(box, WORST, "worst")).status == 502
@@ -143,7 +143,7 @@
                 world.store.put("servers", worker.instance, row)
                 name = worker.instance
                 await until(lambda name=name: box.instances.find(name))
-            worker.settings.ends_under = None
+            worker.settings.crashes_on = None
             assert (await call(box, WORST, "fixed")).status == 200
             for record in box.crashes.conclusive:
                 assert (record.answers, record.targets) == (1, {})
--- a/tests/test_crashing.py
+++ b/tests/test_crashing.py
@@ -26,7 +26,7 @@
     """Add targets that crash when they serve one certain request."""
     world.store.put("op", "config", document(2, **{"max-attempts": attempts}))
     for _ in range(TARGETS):
-        settings = WorkerSettings(ends_under=lambda path: path.startswith("/read/worst"))
+        settings = WorkerSettings(crashes_on=lambda path: path.startswith("/read/worst"))
         await world.add_worker(settings)
     await until(lambda: all(len(b.instances.for_service("loans")) == TARGETS for b in world.boxes))
     await until(lambda: all(b.routes.table.version == 2 for b in world.boxes))
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -121,7 +121,7 @@
             box = world.boxes[0]
             await until(lambda: box.instances.for_service("loans"))
             # The worker crashes during the request, so the retry can't connect.
-            worker.settings.ends_under = lambda path: True
+            worker.settings.crashes_on = lambda path: True
             assert (await call(box, "/read/", "ran")).status == 502
             assert world.ran == ["ran"]
 
@@ -136,7 +136,7 @@
             await until(lambda: box.instances.for_service("loans"))
             assert (await call(box, "/lend/", "lost", method="POST", body=b"x")).status == 502
             assert not logged_events(caplog, "target-ended")
-            first.settings.ends_under = lambda path: path.endswith("worst")
+            first.settings.crashes_on = lambda path: path.endswith("worst")
             answer = await call(box, "/lend/worst", "last", method="POST", body=b"x")
             assert answer.status == 502
             assert first.crashed.is_set()
