--- a/dunlinnotch/lab/faults.py
+++ b/dunlinnotch/lab/faults.py
@@ -167,10 +167,10 @@
 
         targets = self._sample_targets(plan)
         for target in targets:
-            target.worker.settings.draw_fault = choose_fault
+            target.worker.settings.choose_fault = choose_fault
         await asyncio.sleep(plan.for_s)
         for target in targets:
-            target.worker.settings.draw_fault = None
+            target.worker.settings.choose_fault = None
 
     async def _refuse_requests(self, plan: FaultPlan) -> None:
         targets = self._sample_targets(plan)
--- a/dunlinnotch/standins/users/worker.py
+++ b/dunlinnotch/standins/users/worker.py
@@ -110,7 +110,7 @@
     healthy : bool
     work_of : callable, optional
         Given a path, returns the work in seconds; ``work_s`` for all if left out.
-    draw_fault : callable, optional
+    choose_fault : callable, optional
         Returns what is wrong with the next answer once ``faults`` is used up.
     crashes_on : callable, optional
         Given a path, returns whether a request for it ends the worker that runs it.
@@ -133,7 +133,7 @@
     healthy: bool = True
     faults: list[WorkerFault] = field(default_factory=list)
     work_of: Callable[[str], float] | None = None
-    draw_fault: Callable[[], WorkerFault] | None = None
+    choose_fault: Callable[[], WorkerFault] | None = None
     crashes_on: Callable[[str], bool] | None = None
     rejects_next: Callable[[], bool] | None = None
     leaving: bool = False
@@ -320,7 +320,7 @@
     def _next_fault(self) -> WorkerFault:
         if self.settings.faults:
             return self.settings.faults.pop(0)
-        draw = self.settings.draw_fault
+        draw = self.settings.choose_fault
         return WorkerFault.NONE if draw is None else draw()
 
     async def _answer(self, exchange: Exchange, run: WorkerRun, fault: WorkerFault) -> None:
