--- a/dunlinnotch/lab/fleet.py
+++ b/dunlinnotch/lab/fleet.py
@@ -169,7 +169,7 @@
             slots=service.slots,
             queue=service.queue,
             hangs_when_full=service.hangs,
-            work_of=self._work_time,
+            work_s_for=self._work_time,
             crashes_on=crashes_target,
         )
         worker = WorkerStandin(settings)
--- a/dunlinnotch/standins/users/worker.py
+++ b/dunlinnotch/standins/users/worker.py
@@ -108,7 +108,7 @@
     hangs_when_full : bool
         Whether it never answers what it can't queue.
     healthy : bool
-    work_of : callable, optional
+    work_s_for : callable, optional
         Given a path, returns the work in seconds; ``work_s`` for all if left out.
     choose_fault : callable, optional
         Returns what is wrong with the next answer once ``faults`` is used up.
@@ -132,7 +132,7 @@
     hangs_when_full: bool = False
     healthy: bool = True
     faults: list[WorkerFault] = field(default_factory=list)
-    work_of: Callable[[str], float] | None = None
+    work_s_for: Callable[[str], float] | None = None
     choose_fault: Callable[[], WorkerFault] | None = None
     crashes_on: Callable[[str], bool] | None = None
     rejects_next: Callable[[], bool] | None = None
@@ -308,8 +308,8 @@
             return
         if self.resume is not None:
             await self.resume.wait()
-        work_of = self.settings.work_of
-        work_s = self.settings.work_s if work_of is None else work_of(run.path)
+        work_s_for = self.settings.work_s_for
+        work_s = self.settings.work_s if work_s_for is None else work_s_for(run.path)
         if work_s:
             await asyncio.sleep(work_s * self.settings.slowness / 100)
         run.finished = True
