--- a/dunlinnotch/lab/fleet.py
+++ b/dunlinnotch/lab/fleet.py
@@ -168,7 +168,7 @@
         settings = WorkerSettings(
             slots=service.slots,
             queue=service.queue,
-            hangs_when_full=service.hangs,
+            hangs_when_saturated=service.hangs,
             work_s_for=self._work_time,
             crashes_on=crashes_target,
         )
--- a/dunlinnotch/standins/users/worker.py
+++ b/dunlinnotch/standins/users/worker.py
@@ -105,7 +105,7 @@
     slowness : int
         100 is as usual.
     tells_load : bool
-    hangs_when_full : bool
+    hangs_when_saturated : bool
         Whether it never answers what it can't queue.
     healthy : bool
     work_s_for : callable, optional
@@ -129,7 +129,7 @@
     work_s: float = 0.0
     slowness: int = 100
     tells_load: bool = True
-    hangs_when_full: bool = False
+    hangs_when_saturated: bool = False
     healthy: bool = True
     faults: list[WorkerFault] = field(default_factory=list)
     work_s_for: Callable[[str], float] | None = None
@@ -246,7 +246,7 @@
             exchange.reply(421, [Header("Instance-Id", self.instance)], b"")
             return
         if self._running + self._waiting >= self.settings.slots + self.settings.queue:
-            if self.settings.hangs_when_full:
+            if self.settings.hangs_when_saturated:
                 await asyncio.sleep(_FOREVER_S)
             self._turn_away(exchange, arrival)
             return
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -239,7 +239,9 @@
 def test_request_is_refused_with_retry_after_when_all_targets_are_saturated():
     async def test():
         async with stream_world(workers=0) as world:
-            worker = await world.add_worker(WorkerSettings(slots=1, queue=1, hangs_when_full=True))
+            worker = await world.add_worker(
+                WorkerSettings(slots=1, queue=1, hangs_when_saturated=True)
+            )
             box = world.boxes[0]
             await until(lambda: box.instances.for_service("loans"))
             worker.resume = asyncio.Event()
