--- a/dunlinnotch/standins/users/worker.py
+++ b/dunlinnotch/standins/users/worker.py
@@ -104,7 +104,7 @@
     work_s : float
     slowness : int
         100 is as usual.
-    tells_load : bool
+    reports_load : bool
     hangs_when_saturated : bool
         Whether it never answers what it can't queue.
     healthy : bool
@@ -128,7 +128,7 @@
     queue: int = 6
     work_s: float = 0.0
     slowness: int = 100
-    tells_load: bool = True
+    reports_load: bool = True
     hangs_when_saturated: bool = False
     healthy: bool = True
     faults: list[WorkerFault] = field(default_factory=list)
@@ -367,7 +367,7 @@
     def _state(self) -> list[Header]:
         """Return what it says of itself with each answer."""
         headers = [Header("Server-Leaving", "1")] if self.settings.leaving else []
-        if self.settings.tells_load:
+        if self.settings.reports_load:
             figures = (self._running, self._waiting, self.settings.slots, self.settings.slowness)
             headers.append(Header("Instance-Load", ",".join(map(str, figures))))
         return headers
