--- a/dunlinnotch/lab/faults.py
+++ b/dunlinnotch/lab/faults.py
@@ -128,10 +128,10 @@
     async def _slow_targets(self, plan: FaultPlan) -> None:
         targets = self._sample_targets(plan)
         for target in targets:
-            target.worker.settings.slowness = int(_NORMAL_SLOWNESS_PERCENT * plan.x)
+            target.worker.settings.slowness_percent = int(_NORMAL_SLOWNESS_PERCENT * plan.x)
         await asyncio.sleep(plan.for_s)
         for target in targets:
-            target.worker.settings.slowness = _NORMAL_SLOWNESS_PERCENT
+            target.worker.settings.slowness_percent = _NORMAL_SLOWNESS_PERCENT
 
     async def _crash_targets(self, plan: FaultPlan) -> None:
         targets = self._sample_targets(plan)
--- a/dunlinnotch/standins/users/worker.py
+++ b/dunlinnotch/standins/users/worker.py
@@ -102,7 +102,7 @@
     ----------
     slots, queue : int
     work_s : float
-    slowness : int
+    slowness_percent : int
         100 is as usual.
     reports_load : bool
     hangs_when_saturated : bool
@@ -127,7 +127,7 @@
     slots: int = 3
     queue: int = 6
     work_s: float = 0.0
-    slowness: int = 100
+    slowness_percent: int = 100
     reports_load: bool = True
     hangs_when_saturated: bool = False
     healthy: bool = True
@@ -311,7 +311,7 @@
         work_s_for = self.settings.work_s_for
         work_s = self.settings.work_s if work_s_for is None else work_s_for(run.path)
         if work_s:
-            await asyncio.sleep(work_s * self.settings.slowness / 100)
+            await asyncio.sleep(work_s * self.settings.slowness_percent / 100)
         run.finished = True
         await self._answer(exchange, run, fault)
         if fault is WorkerFault.NONE:
@@ -368,7 +368,12 @@
         """Return what it says of itself with each answer."""
         headers = [Header("Server-Leaving", "1")] if self.settings.leaving else []
         if self.settings.reports_load:
-            figures = (self._running, self._waiting, self.settings.slots, self.settings.slowness)
+            figures = (
+                self._running,
+                self._waiting,
+                self.settings.slots,
+                self.settings.slowness_percent,
+            )
             headers.append(Header("Instance-Load", ",".join(map(str, figures))))
         return headers
 
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -287,7 +287,7 @@
                 assert (
                     await call(box, "/lend/", f"r{number}", method="POST", body=b"x")
                 ).status == 200
-            worker.settings.slowness = 4000
+            worker.settings.slowness_percent = 4000
             await asyncio.sleep(5 * MAX_FRESH_AGE_S)  # the last report is outdated then
             late = await call(box, "/lend/", "hopeless", method="POST", body=b"x", deadline_ms=900)
             assert late.status == 503
