--- a/dunlinnotch/lab/checker/answers.py
+++ b/dunlinnotch/lab/checker/answers.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from dunlinnotch.lab.checker.common import Guarantee, Violation
-from dunlinnotch.standins.users.caller import PROMISES, AttemptOutcome
+from dunlinnotch.standins.users.caller import NOT_RUN_STATUSES, AttemptOutcome
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -41,7 +41,7 @@
 
 def _check_not_run(index: ObservationIndex, attempt: AttemptRecord) -> Iterator[Violation]:
     """Check that a request was not run if its answer says so."""
-    refused = attempt.outcome is AttemptOutcome.ANSWERED and attempt.status in PROMISES
+    refused = attempt.outcome is AttemptOutcome.ANSWERED and attempt.status in NOT_RUN_STATUSES
     if (
         refused
         and not index.kinds_by_name[attempt.kind].repeatable
@@ -69,6 +69,6 @@
     All requests of a scenario are valid and its targets send no such answers, so one can
     only come from a box.
     """
-    rejected = 300 <= attempt.status < 500 and attempt.status not in PROMISES
+    rejected = 300 <= attempt.status < 500 and attempt.status not in NOT_RUN_STATUSES
     if attempt.outcome is AttemptOutcome.ANSWERED and rejected:
         yield Violation(Guarantee.NOT_REJECTED, attempt.id, f"{attempt.status} from {attempt.box}")
--- a/dunlinnotch/lab/report.py
+++ b/dunlinnotch/lab/report.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from dunlinnotch.errors import ConfigError
-from dunlinnotch.standins.users.caller import PROMISES, AttemptOutcome
+from dunlinnotch.standins.users.caller import NOT_RUN_STATUSES, AttemptOutcome
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -167,7 +167,10 @@
             result.late += latency_ms > target_latency_ms
             continue
         held_ms.append(sum(attempt.ended - attempt.sent for attempt in attempts) * 1000)
-        if last_attempt.outcome is AttemptOutcome.ANSWERED and last_attempt.status in PROMISES:
+        if (
+            last_attempt.outcome is AttemptOutcome.ANSWERED
+            and last_attempt.status in NOT_RUN_STATUSES
+        ):
             result.refused += 1
         else:
             result.failed += 1
--- a/dunlinnotch/standins/users/caller.py
+++ b/dunlinnotch/standins/users/caller.py
@@ -24,7 +24,7 @@
 _CONNECT_S = 1.0
 _HEAD_MOST = 64 * 1024
 #: Answers that promise that the request has not run.
-PROMISES = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 #: Answers after which nobody asks again.
 _FINAL = frozenset({400, 401, 404, 413, 431})
 #: A caller waits as told for up to this part of the time that it has left.
@@ -182,7 +182,7 @@
         if record.outcome is AttemptOutcome.ANSWERED:
             if record.status < 300 or record.status in _FINAL:
                 return False
-            if record.status in PROMISES:
+            if record.status in NOT_RUN_STATUSES:
                 return True
         if record.outcome is AttemptOutcome.LEFT:
             return False
