--- a/dunlinnotch/lab/checker/budgets.py
+++ b/dunlinnotch/lab/checker/budgets.py
@@ -82,4 +82,4 @@
 def _send_times(index: ObservationIndex, service: str) -> Sequence[Seconds]:
     """Return when callers sent requests of the kinds that may be routed to a service."""
     kinds = {k.name for k in index.scenario.kinds if service in (k.service, k.also)}
-    return [a.sent for a in index.observations.attempts if a.kind in kinds]
+    return [a.sent_at for a in index.observations.attempts if a.kind in kinds]
--- a/dunlinnotch/lab/checker/settings.py
+++ b/dunlinnotch/lab/checker/settings.py
@@ -48,9 +48,9 @@
             service for at, service in route_changes if changed_at <= at <= run.arrived_at
         ]
         excused = index.has_unplanned_fault(
-            changed_at - index.scenario.bounds.contact, attempt.sent
+            changed_at - index.scenario.bounds.contact, attempt.sent_at
         )
-        if attempt.sent > limit and old_service not in newer_services and not excused:
+        if attempt.sent_at > limit and old_service not in newer_services and not excused:
             allowed.discard(old_service)
     if target.service not in allowed:
         detail = f"{kind} {run.request_id} ran at service {target.service}"
--- a/dunlinnotch/lab/checker/stops.py
+++ b/dunlinnotch/lab/checker/stops.py
@@ -46,13 +46,13 @@
     if attempt.outcome is not AttemptOutcome.CUT:
         return
     contact = index.scenario.bounds.contact
-    if index.has_unplanned_fault(attempt.sent - contact, attempt.ended):
+    if index.has_unplanned_fault(attempt.sent_at - contact, attempt.ended):
         return
     request_read = (
-        bool(index.runs_by_id[attempt.id]) or attempt.ended - attempt.sent > _REQUEST_READ_S
+        bool(index.runs_by_id[attempt.id]) or attempt.ended - attempt.sent_at > _REQUEST_READ_S
     )
     if request_read:
-        duration_s = attempt.ended - attempt.sent
+        duration_s = attempt.ended - attempt.sent_at
         yield Violation(
             Guarantee.PLANNED_STOP,
             attempt.id,
@@ -69,7 +69,7 @@
     requests: Counter[bool] = Counter()
     served: dict[int, bool] = {}
     for attempt in index.observations.attempts:
-        if attempt.sent >= recovered_at:
+        if attempt.sent_at >= recovered_at:
             served[attempt.request] = served.get(attempt.request, False) or attempt.succeeded
     requests.update(served.values())
     served_share = requests[True] / max(1, requests.total())
--- a/dunlinnotch/lab/checker/work.py
+++ b/dunlinnotch/lab/checker/work.py
@@ -132,12 +132,12 @@
     for request_id, arrivals in arrivals_by_id.items():
         attempt = index.attempts_by_id.get(request_id)
         if attempt is None or index.has_unplanned_fault(
-            attempt.sent - index.scenario.bounds.contact, attempt.until
+            attempt.sent_at - index.scenario.bounds.contact, attempt.until
         ):
             continue
         first = min(arrivals, key=lambda arrival: arrival.arrived_at)
         for arrival in arrivals:
-            excess_s = arrival.time_limit - (attempt.until - attempt.sent)
+            excess_s = arrival.time_limit - (attempt.until - attempt.sent_at)
             if arrival.arrived_at > first.arrived_at + _RETRY_GAP_S:
                 end = max(first.arrived_at + first.time_limit, attempt.until)
                 excess_s = max(excess_s, arrival.arrived_at + arrival.time_limit - end)
@@ -153,7 +153,7 @@
         limit = attempt.ended + _DISCONNECT_GRACE_S
         caller_left = attempt.outcome is AttemptOutcome.LEFT
         if not caller_left or index.has_unplanned_fault(
-            attempt.sent - index.scenario.bounds.contact, limit
+            attempt.sent_at - index.scenario.bounds.contact, limit
         ):
             continue
         for _, run in index.runs_by_id[attempt.id]:
@@ -200,7 +200,7 @@
         return
     limit = announced_at + index.scenario.bounds.drain + TIMER_TOLERANCE_S
     for arrival in arrivals:
-        sent = index.attempts_by_id[arrival.request_id].sent
+        sent = index.attempts_by_id[arrival.request_id].sent_at
         if sent > limit and not index.has_fault(
             BOX_OR_LINK_FAULTS, announced_at, arrival.arrived_at
         ):
--- a/dunlinnotch/standins/users/caller.py
+++ b/dunlinnotch/standins/users/caller.py
@@ -64,7 +64,7 @@
     box: Address
     method: str
     path: str
-    sent: Seconds
+    sent_at: Seconds
     ended: Seconds = 0.0
     until: Seconds = 0.0
     outcome: AttemptOutcome = AttemptOutcome.NOT_CONNECTED
@@ -241,12 +241,12 @@
         except (OSError, TimeoutError):
             record.ended = self._loop.time()
             return record
-        record.sent = self._loop.time()
+        record.sent_at = self._loop.time()
         keep = False
-        leaves_at = math.inf if plan.leaves_after is None else record.sent + plan.leaves_after
+        leaves_at = math.inf if plan.leaves_after is None else record.sent_at + plan.leaves_after
         try:
             async with asyncio.timeout_at(min(until, leaves_at)):
-                writer.write(self._bytes(plan, record, until - record.sent))
+                writer.write(self._bytes(plan, record, until - record.sent_at))
                 keep = await self._read(reader, record)
             record.outcome = AttemptOutcome.ANSWERED
         except TimeoutError:
