--- a/dunlinnotch/lab/checker/answers.py
+++ b/dunlinnotch/lab/checker/answers.py
@@ -55,11 +55,11 @@
 
 def _check_in_time(index: ObservationIndex, attempt: AttemptRecord) -> Iterator[Violation]:
     """Check that an attempt ends by its deadline."""
-    if index.has_unplanned_fault(attempt.sent_at - index.scenario.bounds.contact, attempt.ended):
+    if index.has_unplanned_fault(attempt.sent_at - index.scenario.bounds.contact, attempt.ended_at):
         return
     limit_s = index.kinds_by_name[attempt.kind].deadline_ms / 1000 + _HOLD_TOLERANCE_S
-    if attempt.ended - attempt.sent_at > limit_s:
-        held_s = attempt.ended - attempt.sent_at
+    if attempt.ended_at - attempt.sent_at > limit_s:
+        held_s = attempt.ended_at - attempt.sent_at
         yield Violation(Guarantee.IN_TIME, attempt.id, f"held {held_s:.2f} s at {attempt.box}")
 
 
--- a/dunlinnotch/lab/checker/stops.py
+++ b/dunlinnotch/lab/checker/stops.py
@@ -46,13 +46,13 @@
     if attempt.outcome is not AttemptOutcome.CUT:
         return
     contact = index.scenario.bounds.contact
-    if index.has_unplanned_fault(attempt.sent_at - contact, attempt.ended):
+    if index.has_unplanned_fault(attempt.sent_at - contact, attempt.ended_at):
         return
     request_read = (
-        bool(index.runs_by_id[attempt.id]) or attempt.ended - attempt.sent_at > _REQUEST_READ_S
+        bool(index.runs_by_id[attempt.id]) or attempt.ended_at - attempt.sent_at > _REQUEST_READ_S
     )
     if request_read:
-        duration_s = attempt.ended - attempt.sent_at
+        duration_s = attempt.ended_at - attempt.sent_at
         yield Violation(
             Guarantee.PLANNED_STOP,
             attempt.id,
--- a/dunlinnotch/lab/checker/work.py
+++ b/dunlinnotch/lab/checker/work.py
@@ -150,7 +150,7 @@
     """Check that a caller's disconnection soon ends its request at boxes and targets."""
     late_runs = long_runs = working_runs = 0
     for attempt in index.observations.abandoned:
-        limit = attempt.ended + _DISCONNECT_GRACE_S
+        limit = attempt.ended_at + _DISCONNECT_GRACE_S
         caller_left = attempt.outcome is AttemptOutcome.LEFT
         if not caller_left or index.has_unplanned_fault(
             attempt.sent_at - index.scenario.bounds.contact, limit
--- a/dunlinnotch/lab/report.py
+++ b/dunlinnotch/lab/report.py
@@ -166,7 +166,7 @@
             result.in_time += latency_ms <= target_latency_ms
             result.late += latency_ms > target_latency_ms
             continue
-        held_ms.append(sum(attempt.ended - attempt.sent_at for attempt in attempts) * 1000)
+        held_ms.append(sum(attempt.ended_at - attempt.sent_at for attempt in attempts) * 1000)
         if (
             last_attempt.outcome is AttemptOutcome.ANSWERED
             and last_attempt.status in NOT_RUN_STATUSES
@@ -181,7 +181,7 @@
 
 
 def _latency_ms(attempts: list[AttemptRecord]) -> float:
-    return (attempts[-1].ended - attempts[0].sent_at) * 1000
+    return (attempts[-1].ended_at - attempts[0].sent_at) * 1000
 
 
 def _quantile(values: list[float], fraction: float) -> float:
--- a/dunlinnotch/standins/users/caller.py
+++ b/dunlinnotch/standins/users/caller.py
@@ -54,7 +54,7 @@
     request : int
         Number of the request that it belongs to.
     id, kind, box, method, path : str
-    sent, ended, until : float
+    sent_at, ended_at, until : float
         Monotonic seconds; its caller waits ``until`` then.
     """
 
@@ -65,7 +65,7 @@
     method: str
     path: str
     sent_at: Seconds
-    ended: Seconds = 0.0
+    ended_at: Seconds = 0.0
     until: Seconds = 0.0
     outcome: AttemptOutcome = AttemptOutcome.NOT_CONNECTED
     status: int = 0
@@ -239,7 +239,7 @@
             else:
                 _, reader, writer = link
         except (OSError, TimeoutError):
-            record.ended = self._loop.time()
+            record.ended_at = self._loop.time()
             return record
         record.sent_at = self._loop.time()
         keep = False
@@ -255,7 +255,7 @@
         except (OSError, ValueError, EOFError, asyncio.LimitOverrunError):
             record.outcome = AttemptOutcome.CUT
         finally:
-            record.ended = self._loop.time()
+            record.ended_at = self._loop.time()
             if keep and self._keeps:
                 self._kept = (box, reader, writer)
             else:
--- a/tests/test_lab_checker.py
+++ b/tests/test_lab_checker.py
@@ -44,7 +44,7 @@
 def make_attempt(request_id="a1", *, kind="lookup", request=1, sent=10.0, took=0.1, **fields):
     method = "GET" if kind == "lookup" else "POST"
     record = AttemptRecord(request, request_id, kind, BOX, method, f"/{kind}/1", sent)
-    record.ended = sent + took
+    record.ended_at = sent + took
     record.until = sent + 2.0
     record.outcome = AttemptOutcome.ANSWERED
     record.status = 200
