--- a/dunlinnotch/lab/checker/work.py
+++ b/dunlinnotch/lab/checker/work.py
@@ -132,14 +132,14 @@
     for request_id, arrivals in arrivals_by_id.items():
         attempt = index.attempts_by_id.get(request_id)
         if attempt is None or index.has_unplanned_fault(
-            attempt.sent_at - index.scenario.bounds.contact, attempt.until
+            attempt.sent_at - index.scenario.bounds.contact, attempt.deadline
         ):
             continue
         first = min(arrivals, key=lambda arrival: arrival.arrived_at)
         for arrival in arrivals:
-            excess_s = arrival.time_limit - (attempt.until - attempt.sent_at)
+            excess_s = arrival.time_limit - (attempt.deadline - attempt.sent_at)
             if arrival.arrived_at > first.arrived_at + _RETRY_GAP_S:
-                end = max(first.arrived_at + first.time_limit, attempt.until)
+                end = max(first.arrived_at + first.time_limit, attempt.deadline)
                 excess_s = max(excess_s, arrival.arrived_at + arrival.time_limit - end)
             if excess_s > _TIME_TOLERANCE_S:
                 detail = f"a target was given {excess_s:.2f} s more than its caller has left"
--- a/dunlinnotch/standins/users/caller.py
+++ b/dunlinnotch/standins/users/caller.py
@@ -54,7 +54,7 @@
     request : int
         Number of the request that it belongs to.
     id, kind, box, method, path : str
-    sent_at, ended_at, until : float
+    sent_at, ended_at, deadline : float
         Monotonic seconds; its caller waits ``until`` then.
     """
 
@@ -66,7 +66,7 @@
     path: str
     sent_at: Seconds
     ended_at: Seconds = 0.0
-    until: Seconds = 0.0
+    deadline: Seconds = 0.0
     outcome: AttemptOutcome = AttemptOutcome.NOT_CONNECTED
     status: int = 0
     body: bytes = b""
@@ -231,7 +231,7 @@
             return None
         now = self._loop.time()
         record = AttemptRecord(number, self._next_id(), plan.kind, box, plan.method, plan.path, now)
-        record.until = until
+        record.deadline = until
         try:
             if link is None:
                 async with asyncio.timeout(min(_CONNECT_S, max(0.01, until - now))):
--- a/tests/test_lab_checker.py
+++ b/tests/test_lab_checker.py
@@ -45,7 +45,7 @@
     method = "GET" if kind == "lookup" else "POST"
     record = AttemptRecord(request, request_id, kind, BOX, method, f"/{kind}/1", sent)
     record.ended_at = sent + took
-    record.until = sent + 2.0
+    record.deadline = sent + 2.0
     record.outcome = AttemptOutcome.ANSWERED
     record.status = 200
     record.sealed = True
