--- a/dunlinnotch/lab/checker/answers.py
+++ b/dunlinnotch/lab/checker/answers.py
@@ -30,8 +30,10 @@
     """Check that a successful answer is complete and belongs to its request."""
     if attempt.outcome is not AttemptOutcome.ANSWERED:
         return
-    if attempt.named and attempt.named != attempt.id:
-        yield Violation(Guarantee.COMPLETE, attempt.id, f"received the answer to {attempt.named}")
+    if attempt.answered_id and attempt.answered_id != attempt.id:
+        yield Violation(
+            Guarantee.COMPLETE, attempt.id, f"received the answer to {attempt.answered_id}"
+        )
     if not attempt.succeeded:
         return
     bodies = {f"{t.worker.instance} ran {attempt.id}" for t, _ in index.runs_by_id[attempt.id]}
--- a/dunlinnotch/standins/users/caller.py
+++ b/dunlinnotch/standins/users/caller.py
@@ -70,7 +70,7 @@
     outcome: AttemptOutcome = AttemptOutcome.NOT_CONNECTED
     status: int = 0
     body: bytes = b""
-    named: str = ""
+    answered_id: str = ""
     sealed: bool = False
     retry_after: Seconds = 0.0
 
@@ -290,7 +290,7 @@
         """Read one answer to its last byte; return whether the connection may be kept."""
         head = _parse_head(await reader.readuntil(b"\r\n\r\n"))
         record.status = head.status
-        record.named = head.headers.get("attempt-id", "")
+        record.answered_id = head.headers.get("attempt-id", "")
         record.sealed = "response-seal" in head.headers
         record.retry_after = float(head.headers.get("retry-after", "0"))
         if head.headers.get("transfer-encoding") == "chunked":
--- a/tests/test_lab_checker.py
+++ b/tests/test_lab_checker.py
@@ -49,7 +49,7 @@
     record.outcome = AttemptOutcome.ANSWERED
     record.status = 200
     record.sealed = True
-    record.named = request_id
+    record.answered_id = request_id
     record.body = f"t1 ran {request_id}".encode()
     for name, value in fields.items():
         setattr(record, name, value)
@@ -109,7 +109,9 @@
 def test_the_answer_to_another_request_is_a_violation():
     target = make_target()
     add_run(target, "a1")
-    assert check([make_attempt("a1", named="a2", status=500)], [target]) == [Guarantee.COMPLETE]
+    assert check([make_attempt("a1", answered_id="a2", status=500)], [target]) == [
+        Guarantee.COMPLETE
+    ]
 
 
 @pytest.mark.parametrize("status", [408, 421, 429, 503])
