--- a/dunlinnotch/lab/checker/stops.py
+++ b/dunlinnotch/lab/checker/stops.py
@@ -70,7 +70,9 @@
     served: dict[int, bool] = {}
     for attempt in index.observations.attempts:
         if attempt.sent_at >= recovered_at:
-            served[attempt.request] = served.get(attempt.request, False) or attempt.succeeded
+            served[attempt.request_number] = (
+                served.get(attempt.request_number, False) or attempt.succeeded
+            )
     requests.update(served.values())
     served_share = requests[True] / max(1, requests.total())
     if requests.total() >= _MIN_REQUESTS and served_share < _MIN_SERVED_SHARE:
--- a/dunlinnotch/lab/report.py
+++ b/dunlinnotch/lab/report.py
@@ -134,7 +134,7 @@
     """
     requests: dict[int, list[AttemptRecord]] = {}
     for attempt in observations.attempts:
-        requests.setdefault(attempt.request, []).append(attempt)
+        requests.setdefault(attempt.request_number, []).append(attempt)
     result = ScenarioResult(
         name=observations.scenario.name,
         seed=observations.scenario.seed,
--- a/dunlinnotch/standins/users/caller.py
+++ b/dunlinnotch/standins/users/caller.py
@@ -51,14 +51,14 @@
 
     Parameters
     ----------
-    request : int
+    request_number : int
         Number of the request that it belongs to.
     id, kind, box, method, path : str
     sent_at, ended_at, deadline : float
         Monotonic seconds; its caller waits ``until`` then.
     """
 
-    request: int
+    request_number: int
     id: str
     kind: str
     box: Address
