--- a/dunlinnotch/lab/faults.py
+++ b/dunlinnotch/lab/faults.py
@@ -251,7 +251,7 @@
                 method="GET",
                 path=path_prefix(kind) + path.format(self._rng.randrange(40)),
                 body=b"",
-                repeatable=True,
+                idempotent=True,
                 deadline=kind.deadline_ms / 1000,
                 retries=0,
                 leaves_after=leaves_after,
--- a/dunlinnotch/lab/run.py
+++ b/dunlinnotch/lab/run.py
@@ -96,7 +96,7 @@
             method="GET" if kind.repeatable else "POST",
             path=f"{path_prefix(kind)}{number}",
             body=b"" if kind.repeatable else _REQUEST_BODY,
-            repeatable=kind.repeatable,
+            idempotent=kind.repeatable,
             deadline=kind.deadline_ms / 1000,
             retries=kind.retries,
         )
--- a/dunlinnotch/standins/users/caller.py
+++ b/dunlinnotch/standins/users/caller.py
@@ -88,7 +88,7 @@
     ----------
     kind, method, path : str
     body : bytes
-    repeatable : bool
+    idempotent : bool
     deadline : float
         Seconds from the first attempt.
     retries : int
@@ -100,7 +100,7 @@
     method: str
     path: str
     body: bytes
-    repeatable: bool
+    idempotent: bool
     deadline: Seconds
     retries: int
     leaves_after: Seconds | None = None
@@ -186,7 +186,7 @@
                 return True
         if record.outcome is AttemptOutcome.LEFT:
             return False
-        return plan.repeatable
+        return plan.idempotent
 
     # -- where to go
 
