--- a/dunlinnotch/lab/faults.py
+++ b/dunlinnotch/lab/faults.py
@@ -254,7 +254,7 @@
                 idempotent=True,
                 deadline=kind.deadline_ms / 1000,
                 retries=0,
-                leaves_after=leaves_after,
+                disconnect_after=leaves_after,
             )
             attempts += await caller.request(0, request)
             await asyncio.sleep(1 / plan.x)
--- a/dunlinnotch/standins/users/caller.py
+++ b/dunlinnotch/standins/users/caller.py
@@ -92,7 +92,7 @@
     deadline : float
         Seconds from the first attempt.
     retries : int
-    leaves_after : float, optional
+    disconnect_after : float, optional
         Seconds after which it closes the connection of an attempt, whatever is under way.
     """
 
@@ -103,7 +103,7 @@
     idempotent: bool
     deadline: Seconds
     retries: int
-    leaves_after: Seconds | None = None
+    disconnect_after: Seconds | None = None
 
 
 @dataclass(slots=True)
@@ -243,7 +243,9 @@
             return record
         record.sent_at = self._loop.time()
         keep = False
-        leaves_at = math.inf if plan.leaves_after is None else record.sent_at + plan.leaves_after
+        leaves_at = (
+            math.inf if plan.disconnect_after is None else record.sent_at + plan.disconnect_after
+        )
         try:
             async with asyncio.timeout_at(min(until, leaves_at)):
                 writer.write(self._bytes(plan, record, until - record.sent_at))
