--- a/dunlinnotch/lab/faults.py
+++ b/dunlinnotch/lab/faults.py
@@ -242,7 +242,7 @@
             directories=self._fleet.directories,
             next_id=lambda: f"{plan.kind[0]}{len(attempts):03x}{self._rng.getrandbits(32):08x}",
             rng=self._rng,
-            keeps=False,
+            keep_alive=False,
         )
         until = self._loop.time() + plan.for_s
         while self._loop.time() < until:
--- a/dunlinnotch/lab/run.py
+++ b/dunlinnotch/lab/run.py
@@ -111,7 +111,7 @@
             directories=self._fleet.directories,
             next_id=lambda: f"a{next(self._attempt_ids):07x}",
             rng=self._rng,
-            keeps=self._rng.random() < _KEEP_ALIVE_SHARE,
+            keep_alive=self._rng.random() < _KEEP_ALIVE_SHARE,
         )
 
 
--- a/dunlinnotch/standins/users/caller.py
+++ b/dunlinnotch/standins/users/caller.py
@@ -122,7 +122,7 @@
         Returns where to ask which boxes to use, nearer ones first.
     next_id : callable
     rng : random.Random
-    keeps : bool
+    keep_alive : bool
         Whether it keeps its connection for the next request.
     """
 
@@ -134,14 +134,14 @@
         directories: Callable[[str], Sequence[Address]],
         next_id: Callable[[], str],
         rng: random.Random,
-        keeps: bool,
+        keep_alive: bool,
     ) -> None:
         self._zone = zone
         self._host = host
         self._directories = directories
         self._next_id = next_id
         self._rng = rng
-        self._keeps = keeps
+        self._keep_alive = keep_alive
         self._loop = asyncio.get_running_loop()
         self._addresses: list[Address] = []
         self._fresh_until: Seconds = 0.0
@@ -258,7 +258,7 @@
             record.outcome = AttemptOutcome.CUT
         finally:
             record.ended_at = self._loop.time()
-            if keep and self._keeps:
+            if keep and self._keep_alive:
                 self._kept = (box, reader, writer)
             else:
                 writer.close()
@@ -284,7 +284,7 @@
         ]
         if plan.body:
             lines.append(f"Content-Length: {len(plan.body)}")
-        if not self._keeps:
+        if not self._keep_alive:
             lines.append("Connection: close")
         return ("\r\n".join(lines) + "\r\n\r\n").encode() + plan.body
 
