--- a/dunlinnotch/standins/users/caller.py
+++ b/dunlinnotch/standins/users/caller.py
@@ -146,7 +146,7 @@
         self._addresses: list[Address] = []
         self._fresh_until: Seconds = 0.0
         self._kept: tuple[Address, asyncio.StreamReader, asyncio.StreamWriter] | None = None
-        self.look_ups = 0
+        self.lookups = 0
         self.failed_look_ups = 0
 
     async def request(self, number: int, plan: CallerRequestPlan) -> list[AttemptRecord]:
@@ -195,7 +195,7 @@
             return
         query = urlencode({"name": self._host, "region": "lab", "zone": self._zone})
         for address in self._directories(self._zone)[:_LOOK_UPS]:
-            self.look_ups += 1
+            self.lookups += 1
             try:
                 answer = await Fetcher(address).fetch(
                     "GET", f"/api/resolve?{query}", timeout=_LOOK_UP_S
