--- a/dunlinnotch/standins/users/caller.py
+++ b/dunlinnotch/standins/users/caller.py
@@ -147,7 +147,7 @@
         self._fresh_until: Seconds = 0.0
         self._kept: tuple[Address, asyncio.StreamReader, asyncio.StreamWriter] | None = None
         self.lookups = 0
-        self.failed_look_ups = 0
+        self.failed_lookups = 0
 
     async def request(self, number: int, plan: CallerRequestPlan) -> list[AttemptRecord]:
         """Make one request; return its attempts."""
@@ -201,10 +201,10 @@
                     "GET", f"/api/resolve?{query}", timeout=_LOOK_UP_S
                 )
             except PlatformUnavailableError:
-                self.failed_look_ups += 1
+                self.failed_lookups += 1
                 continue
             if answer.status != 200:
-                self.failed_look_ups += 1
+                self.failed_lookups += 1
                 continue
             plain = json.loads(answer.body)
             self._addresses = list(plain["addresses"])
