--- a/dunlinnotch/standins/users/store.py
+++ b/dunlinnotch/standins/users/store.py
@@ -88,13 +88,13 @@
         Calls received, refused ones included.
     calls_by : dict of str to int
         The same by caller's IP number.
-    era : int
+    epoch : int
         Rises by one each time the store comes back from a copy; told in all answers.
     """
 
     def __init__(self) -> None:
         self.faults = StoreFaults()
-        self.era = 1
+        self.epoch = 1
         self.calls = 0
         self.calls_by: dict[str, int] = {}
         self.address = ""
@@ -168,7 +168,7 @@
         again by this: operators and workers do that.
         """
         kept = [written for written in self._written if written.at <= before]
-        self.era += 1
+        self.epoch += 1
         self._rows.clear()
         self._objects.clear()
         self._ver = 0
@@ -249,7 +249,7 @@
     def _reply(
         self, exchange: Exchange, status: int, body: bytes, *, kind: str = "text/plain"
     ) -> None:
-        headers = (Header("Content-Type", kind), Header(_ERA, str(self.era)))
+        headers = (Header("Content-Type", kind), Header(_ERA, str(self.epoch)))
         exchange.reply(status, headers, body)
 
     def _read(self, args: dict[str, str]) -> dict[str, Any]:
--- a/tests/test_store_back.py
+++ b/tests/test_store_back.py
@@ -73,7 +73,7 @@
             await until(lambda: all_use(world, 24))
             world.store.come_back_from_copy(backup_at)
             box = world.boxes[0]
-            await until(lambda: box.tables["op"].epoch == world.store.era)
+            await until(lambda: box.tables["op"].epoch == world.store.epoch)
             later = await world.add_box(seeds=(box.mesh.peer,))
             assert later.routes.table.version == 24
 
@@ -107,7 +107,7 @@
             await until(lambda: not any(i.find(leaving.instance) for i in instances))
             world.store.come_back_from_copy(backup_at)
             await until(
-                lambda: all(b.tables["servers"].epoch == world.store.era for b in world.boxes)
+                lambda: all(b.tables["servers"].epoch == world.store.epoch for b in world.boxes)
             )
             assert not any(i.find(leaving.instance) for i in instances)
             assert all(i.find(staying.instance).missing_since is None for i in instances)
