--- a/dunlinnotch/standins/users/store.py
+++ b/dunlinnotch/standins/users/store.py
@@ -86,7 +86,7 @@
     ----------
     calls : int
         Calls received, refused ones included.
-    calls_by : dict of str to int
+    calls_by_ip : dict of str to int
         The same by caller's IP number.
     epoch : int
         Rises by one each time the store comes back from a copy; told in all answers.
@@ -96,7 +96,7 @@
         self.faults = StoreFaults()
         self.epoch = 1
         self.calls = 0
-        self.calls_by: dict[str, int] = {}
+        self.calls_by_ip: dict[str, int] = {}
         self.address = ""
         self._rows: dict[tuple[str, str, str], StoredRow] = {}
         self._log: list[StoredRow] = []
@@ -207,7 +207,7 @@
     async def _serve(self, exchange: Exchange) -> None:
         caller = exchange.remote_ip
         self.calls += 1
-        self.calls_by[caller] = self.calls_by.get(caller, 0) + 1
+        self.calls_by_ip[caller] = self.calls_by_ip.get(caller, 0) + 1
         fault = self.faults.refused.get(caller, self.faults.fault)
         if fault is not StoreFault.NONE:
             await self._fail(exchange, fault)
