--- a/dunlinnotch/lab/faults.py
+++ b/dunlinnotch/lab/faults.py
@@ -326,7 +326,7 @@
         backup_time = store.now - plan.x
         store.faults.fault = StoreFault.RESET
         await asyncio.sleep(self._rng.uniform(0.0, _MAX_RESTORE_OUTAGE_S))
-        store.come_back_from_copy(backup_time)
+        store.restore_backup(backup_time)
         store.faults.fault = StoreFault.NONE
         await asyncio.sleep(self._rng.uniform(0.0, _MAX_REWRITE_DELAY_S))
         self._fleet.rewrite_lost_rows()
--- a/dunlinnotch/standins/users/store.py
+++ b/dunlinnotch/standins/users/store.py
@@ -154,7 +154,7 @@
         """The store's steady clock; it goes on when the store goes back."""
         return asyncio.get_running_loop().time()
 
-    def come_back_from_copy(self, before: Seconds) -> None:
+    def restore_backup(self, before: Seconds) -> None:
         """Go on from a copy that holds what was written up to a moment.
 
         Parameters
--- a/tests/test_store_back.py
+++ b/tests/test_store_back.py
@@ -41,7 +41,7 @@
     async def test():
         async with stream_world(boxes=2) as world:
             backup_at = await raise_versions(world, 40)
-            world.store.come_back_from_copy(backup_at)
+            world.store.restore_backup(backup_at)
             assert world.store.put("op", "config", document(24)) < 40
             await until(lambda: all_use(world, 24))
 
@@ -53,7 +53,7 @@
         async with stream_world(boxes=2) as world:
             backup_at = await raise_versions(world, 10)
             world.store.faults.fault = StoreFault.BUSY
-            world.store.come_back_from_copy(backup_at)
+            world.store.restore_backup(backup_at)
             world.store.put("op", "config", document(24))
             for number in range(40):
                 world.store.put("op", "other", {"number": number})
@@ -71,7 +71,7 @@
             backup_at = world.store.now
             world.store.put("op", "config", document(24))
             await until(lambda: all_use(world, 24))
-            world.store.come_back_from_copy(backup_at)
+            world.store.restore_backup(backup_at)
             box = world.boxes[0]
             await until(lambda: box.tables["op"].epoch == world.store.epoch)
             later = await world.add_box(seeds=(box.mesh.peer,))
@@ -87,7 +87,7 @@
             worker = await world.add_worker()
             instances = [box.instances for box in world.boxes]
             await until(lambda: all(i.find(worker.instance) for i in instances))
-            world.store.come_back_from_copy(backup_at)
+            world.store.restore_backup(backup_at)
             await until(lambda: all(i.find(worker.instance).lost for i in instances))
             world.store.put("servers", worker.instance, worker.row("loans", zone="hall-a"))
             await until(
@@ -105,7 +105,7 @@
             world.store.remove("servers", leaving.instance)
             instances = [box.instances for box in world.boxes]
             await until(lambda: not any(i.find(leaving.instance) for i in instances))
-            world.store.come_back_from_copy(backup_at)
+            world.store.restore_backup(backup_at)
             await until(
                 lambda: all(b.tables["servers"].epoch == world.store.epoch for b in world.boxes)
             )
@@ -119,7 +119,7 @@
     async def test():
         async with stream_world(boxes=3) as world:
             backup_at = await raise_versions(world, 40)
-            world.store.come_back_from_copy(backup_at)
+            world.store.restore_backup(backup_at)
             calls_before = world.store.calls
             await asyncio.sleep(COUNTING_S)
             assert world.store.calls - calls_before < 40
--- a/tests/test_users_contract.py
+++ b/tests/test_users_contract.py
@@ -224,7 +224,7 @@
             store.put("op", "config", {"n": 2})
             store.put("op", "late", {"n": 3})
             await fetcher.fetch("PUT", "/api/blob-put/late", body=b"x", timeout=5)
-            store.come_back_from_copy(restore_point)
+            store.restore_backup(restore_point)
             read = await fetcher.fetch("GET", "/api/rows-get?table=op&part=", timeout=5)
             (row,) = json.loads(read.body)["rows"]
             assert (row["ver"], json.loads(read.body)["ver"]) == (1, 1)
