--- a/dunlinnotch/lab/faults.py
+++ b/dunlinnotch/lab/faults.py
@@ -318,7 +318,7 @@
             link.set_state(LinkState.PASS)
 
     async def _drop_store_history(self, plan: FaultPlan) -> None:
-        self._fleet.store.forget_history()
+        self._fleet.store.drop_history()
         await asyncio.sleep(plan.for_s)
 
     async def _restore_store(self, plan: FaultPlan) -> None:
--- a/dunlinnotch/standins/users/store.py
+++ b/dunlinnotch/standins/users/store.py
@@ -143,7 +143,7 @@
         rows = self._rows.values()
         return {r.key for r in rows if (r.table, r.part) == (table, part) and r.value is not None}
 
-    def forget_history(self) -> None:
+    def drop_history(self) -> None:
         """Drop what changed so far; feeds that follow it get 410."""
         self._history_from = self._ver
         self._log.clear()
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -441,7 +441,7 @@
             box = world.boxes[0]
             world.store.put("op", "config", document(2))
             world.store.remove("servers", world.workers[0].instance)
-            world.store.forget_history()
+            world.store.drop_history()
             await until(lambda: box.routes.table.version == 2)
             await until(lambda: not box.instances.for_service("loans"))
 
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -277,7 +277,7 @@
         assert changes.version == 7
         unchanged = await store.changes("t", 7, 0.01)
         assert unchanged.rows == ()
-        standin.forget_history()
+        standin.drop_history()
         assert isinstance(await store.changes("t", 5, 1.0), HistoryGone)
         await standin.close()
 
