--- a/dunlinnotch/standins/users/store.py
+++ b/dunlinnotch/standins/users/store.py
@@ -65,7 +65,7 @@
     ----------
     fault : StoreFault
         For every caller.
-    refused : dict of str to StoreFault
+    fault_by_ip : dict of str to StoreFault
         For callers with this IP number only.
     slow_s : float
         Further time for each answer.
@@ -74,7 +74,7 @@
     """
 
     fault: StoreFault = StoreFault.NONE
-    refused: dict[str, StoreFault] = field(default_factory=dict)
+    fault_by_ip: dict[str, StoreFault] = field(default_factory=dict)
     slow_s: float = 0.0
     lose_answers: int = 0
 
@@ -208,7 +208,7 @@
         caller = exchange.remote_ip
         self.calls += 1
         self.calls_by_ip[caller] = self.calls_by_ip.get(caller, 0) + 1
-        fault = self.faults.refused.get(caller, self.faults.fault)
+        fault = self.faults.fault_by_ip.get(caller, self.faults.fault)
         if fault is not StoreFault.NONE:
             await self._fail(exchange, fault)
             return
