--- a/dunlinnotch/lab/faults.py
+++ b/dunlinnotch/lab/faults.py
@@ -304,9 +304,9 @@
         self._fleet.store.faults.fault = StoreFault.NONE
 
     async def _slow_store(self, plan: FaultPlan) -> None:
-        self._fleet.store.faults.slow_s = plan.x
+        self._fleet.store.faults.answer_delay_s = plan.x
         await asyncio.sleep(plan.for_s)
-        self._fleet.store.faults.slow_s = 0.0
+        self._fleet.store.faults.answer_delay_s = 0.0
 
     async def _break_store_links(self, plan: FaultPlan) -> None:
         silent = plan.kind is FaultKind.STORE_SILENT
--- a/dunlinnotch/standins/users/store.py
+++ b/dunlinnotch/standins/users/store.py
@@ -67,7 +67,7 @@
         For every caller.
     fault_by_ip : dict of str to StoreFault
         For callers with this IP number only.
-    slow_s : float
+    answer_delay_s : float
         Further time for each answer.
     lose_answers : int
         So many of the next writes are done and not answered.
@@ -75,7 +75,7 @@
 
     fault: StoreFault = StoreFault.NONE
     fault_by_ip: dict[str, StoreFault] = field(default_factory=dict)
-    slow_s: float = 0.0
+    answer_delay_s: float = 0.0
     lose_answers: int = 0
 
 
@@ -212,8 +212,8 @@
         if fault is not StoreFault.NONE:
             await self._fail(exchange, fault)
             return
-        if self.faults.slow_s:
-            await asyncio.sleep(self.faults.slow_s)
+        if self.faults.answer_delay_s:
+            await asyncio.sleep(self.faults.answer_delay_s)
         body = b"".join([part async for part in exchange.body()])
         path, _, query = exchange.path.partition("?")
         args = {name: values[0] for name, values in parse_qs(query).items()}
