--- a/dunlinnotch/standins/users/box.py
+++ b/dunlinnotch/standins/users/box.py
@@ -110,7 +110,7 @@
         """Wait for the end of the process; return its status."""
         process = self.process
         assert process is not None
-        await until(lambda: process.poll() is not None, f"{self.name} has ended")
+        await wait_until(lambda: process.poll() is not None, f"{self.name} has ended")
         return process.returncode
 
     async def wait_ready(self, *, status: int = _READY) -> None:
@@ -146,7 +146,9 @@
         return 0
 
 
-async def until(condition: Callable[[], bool], what: str, *, within: Seconds = _READY_S) -> None:
+async def wait_until(
+    condition: Callable[[], bool], what: str, *, within: Seconds = _READY_S
+) -> None:
     """Wait until a condition holds.
 
     Raises
--- a/tests/test_users_processes.py
+++ b/tests/test_users_processes.py
@@ -7,7 +7,7 @@
 import signal
 
 from demo.users import UsersFleet, document
-from dunlinnotch.standins.users.box import status_of, until
+from dunlinnotch.standins.users.box import status_of, wait_until
 from dunlinnotch.transport.stream.fetch import Fetcher
 
 
@@ -64,10 +64,10 @@
         box = await fleet.start_box()
         box.write_settings(fleet.store.address, [box.ip], **{"terms.bounds.grace": "3s"})
         box.send_signal(signal.SIGHUP)
-        await until(lambda: '"event":"reloaded"' in box.events(), "reloaded")
+        await wait_until(lambda: '"event":"reloaded"' in box.events(), "reloaded")
         box.write_settings(fleet.store.address, [box.ip], **{"terms.bounds.grace": "long"})
         box.send_signal(signal.SIGHUP)
-        await until(lambda: '"event":"reload-refused"' in box.events(), "refused")
+        await wait_until(lambda: '"event":"reload-refused"' in box.events(), "refused")
         assert (await fleet.call(box, "/lookup/a"))[0] == 200
 
     run(tmp_path, test)
@@ -76,11 +76,11 @@
 def test_killed_box_is_restarted_while_the_other_one_serves(tmp_path):
     async def test(fleet):
         first, second = await fleet.start_box(), await fleet.start_box()
-        await until(lambda: '"box":"front-1"' in second.events(), "the boxes have met")
+        await wait_until(lambda: '"box":"front-1"' in second.events(), "the boxes have met")
         first.send_signal(signal.SIGKILL)
         assert await first.ended() == -signal.SIGKILL
         fleet.store.put("op", "config", document(2, "holdings"))
-        await until(lambda: '"version":2' in second.events(), "the other box reads for itself")
+        await wait_until(lambda: '"version":2' in second.events(), "the other box reads for itself")
         first.start()
         await first.wait_ready()
         assert (await fleet.call(first, "/lookup/a"))[0] == 200
