--- a/dunlinnotch/standins/users/box.py
+++ b/dunlinnotch/standins/users/box.py
@@ -116,13 +116,13 @@
     async def wait_ready(self, *, status: int = _READY) -> None:
         """Wait until the readiness of the box has a status."""
         async with asyncio.timeout(_READY_S):
-            while await status_of(self.readiness, "/api/readiness") != status:
+            while await fetch_status(self.readiness, "/api/readiness") != status:
                 await asyncio.sleep(_LOOK_S)
 
     async def wait_not_ready(self) -> None:
         """Wait until the box is not ready, or not there."""
         async with asyncio.timeout(_READY_S):
-            while await status_of(self.readiness, "/api/readiness") == _READY:
+            while await fetch_status(self.readiness, "/api/readiness") == _READY:
                 await asyncio.sleep(_LOOK_S)
 
     async def figures_text(self) -> str:
@@ -138,7 +138,7 @@
         return self.log.read_text(encoding="utf-8")
 
 
-async def status_of(address: Address, path: str) -> int:
+async def fetch_status(address: Address, path: str) -> int:
     """Return the status of one answer; 0 if there was none."""
     try:
         return (await Fetcher(address).fetch("GET", path, timeout=_CALL_S)).status
