--- a/benchmarks/entry_hop.py
+++ b/benchmarks/entry_hop.py
@@ -52,7 +52,7 @@
         fleet.store.put("op", "config", document(1, "holdings"))
         worker = await fleet.add_worker("holdings")
         box = await fleet.start_box()
-        direct, through = _Kept(worker.address, instance=worker.instance), _Kept(box.caller)
+        direct, through = _Kept(worker.address, instance=worker.instance), _Kept(box.caller_address)
         await direct.open()
         await through.open()
         for _ in range(_WARM):
--- a/demo/users.py
+++ b/demo/users.py
@@ -84,7 +84,7 @@
     async def call(self, box: BoxProcess, path: str, *, method: str = "GET") -> tuple[int, bytes]:
         """Send one request to a box; return status and body."""
         self._count += 1
-        host, _, port = box.caller.rpartition(":")
+        host, _, port = box.caller_address.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         try:
             body = b"x" if method == "POST" else b""
--- a/dunlinnotch/standins/users/box.py
+++ b/dunlinnotch/standins/users/box.py
@@ -44,7 +44,7 @@
         self.log = log
         self.settings = log.with_suffix(".conf")
         self.process: subprocess.Popen[bytes] | None = None
-        self.caller = f"{ip}:{_CALLER_PORT}"
+        self.caller_address = f"{ip}:{_CALLER_PORT}"
         self.readiness = f"{ip}:{_READY_PORT}"
         self.directory = f"{ip}:{_DIRECTORY_PORT}"
         self.figures = f"{ip}:{_FIGURES_PORT}"
@@ -65,7 +65,7 @@
             "self.node-name": self.name,
             "self.zone": self.zone,
             "self.ip": self.ip,
-            "network.bind.front": self.caller,
+            "network.bind.front": self.caller_address,
             "network.bind.readiness": self.readiness,
             "network.bind.control": f"{self.ip}:{_CONTROL_PORT}",
             "network.bind.directory": self.directory,
--- a/tests/test_users_processes.py
+++ b/tests/test_users_processes.py
@@ -32,7 +32,7 @@
             "GET", "/api/resolve?name=x&region=r&zone=hall-a", timeout=5.0
         )
         content = json.loads(answer.body)
-        assert content["addresses"] == [box.caller]
+        assert content["addresses"] == [box.caller_address]
         assert content["ttl"].endswith("ms")
         metrics = (await Fetcher(box.figures).fetch("GET", "/metrics", timeout=5.0)).body.decode()
         assert 'dunlinnotch_requests_total{kind="lookup",outcome="answered",reason=""} 1' in metrics
