--- a/dunlinnotch/standins/users/box.py
+++ b/dunlinnotch/standins/users/box.py
@@ -45,7 +45,7 @@
         self.settings = log.with_suffix(".conf")
         self.process: subprocess.Popen[bytes] | None = None
         self.caller_address = f"{ip}:{_CALLER_PORT}"
-        self.readiness = f"{ip}:{_READY_PORT}"
+        self.readiness_address = f"{ip}:{_READY_PORT}"
         self.directory = f"{ip}:{_DIRECTORY_PORT}"
         self.figures = f"{ip}:{_FIGURES_PORT}"
 
@@ -66,7 +66,7 @@
             "self.zone": self.zone,
             "self.ip": self.ip,
             "network.bind.front": self.caller_address,
-            "network.bind.readiness": self.readiness,
+            "network.bind.readiness": self.readiness_address,
             "network.bind.control": f"{self.ip}:{_CONTROL_PORT}",
             "network.bind.directory": self.directory,
             "network.internal-port-range": "7660,7675",
@@ -116,13 +116,13 @@
     async def wait_ready(self, *, status: int = _READY) -> None:
         """Wait until the readiness of the box has a status."""
         async with asyncio.timeout(_READY_S):
-            while await fetch_status(self.readiness, "/api/readiness") != status:
+            while await fetch_status(self.readiness_address, "/api/readiness") != status:
                 await asyncio.sleep(_LOOK_S)
 
     async def wait_not_ready(self) -> None:
         """Wait until the box is not ready, or not there."""
         async with asyncio.timeout(_READY_S):
-            while await fetch_status(self.readiness, "/api/readiness") == _READY:
+            while await fetch_status(self.readiness_address, "/api/readiness") == _READY:
                 await asyncio.sleep(_LOOK_S)
 
     async def figures_text(self) -> str:
--- a/tests/test_users_processes.py
+++ b/tests/test_users_processes.py
@@ -37,7 +37,7 @@
         metrics = (await Fetcher(box.figures).fetch("GET", "/metrics", timeout=5.0)).body.decode()
         assert 'dunlinnotch_requests_total{kind="lookup",outcome="answered",reason=""} 1' in metrics
         assert "dunlinnotch_settings_version 1" in metrics
-        assert await fetch_status(box.readiness, "/elsewhere") == 404
+        assert await fetch_status(box.readiness_address, "/elsewhere") == 404
         box.send_signal(signal.SIGTERM)
         await box.wait_ready(status=503)
         assert await box.ended() == 0
