--- a/dunlinnotch/lab/fleet.py
+++ b/dunlinnotch/lab/fleet.py
@@ -155,8 +155,8 @@
 
     def directories(self, place: str) -> list[Address]:
         """Return the addresses of the boxes' directory service, those in ``place`` first."""
-        same_place = [box.directory for box in self.boxes if box.zone == place]
-        other_places = [box.directory for box in self.boxes if box.zone != place]
+        same_place = [box.directory_address for box in self.boxes if box.zone == place]
+        other_places = [box.directory_address for box in self.boxes if box.zone != place]
         self.rng.shuffle(same_place)
         self.rng.shuffle(other_places)
         return same_place + other_places
--- a/dunlinnotch/standins/users/box.py
+++ b/dunlinnotch/standins/users/box.py
@@ -46,7 +46,7 @@
         self.process: subprocess.Popen[bytes] | None = None
         self.caller_address = f"{ip}:{_CALLER_PORT}"
         self.readiness_address = f"{ip}:{_READY_PORT}"
-        self.directory = f"{ip}:{_DIRECTORY_PORT}"
+        self.directory_address = f"{ip}:{_DIRECTORY_PORT}"
         self.figures = f"{ip}:{_FIGURES_PORT}"
 
     def write_settings(self, store: Address, seeds: list[str], **changes: str) -> None:
@@ -68,7 +68,7 @@
             "network.bind.front": self.caller_address,
             "network.bind.readiness": self.readiness_address,
             "network.bind.control": f"{self.ip}:{_CONTROL_PORT}",
-            "network.bind.directory": self.directory,
+            "network.bind.directory": self.directory_address,
             "network.internal-port-range": "7660,7675",
             "network.seeds": ",".join(f"{seed}:{_CONTROL_PORT}" for seed in seeds),
             "platform.platform.address": store,
--- a/tests/test_users_processes.py
+++ b/tests/test_users_processes.py
@@ -28,7 +28,7 @@
         box = await fleet.start_box()
         assert (await fleet.call(box, "/lookup/a"))[0] == 200
         assert (await fleet.call(box, "/loan/a", method="POST"))[0] == 200
-        answer = await Fetcher(box.directory).fetch(
+        answer = await Fetcher(box.directory_address).fetch(
             "GET", "/api/resolve?name=x&region=r&zone=hall-a", timeout=5.0
         )
         content = json.loads(answer.body)
