--- a/dunlinnotch/standins/users/box.py
+++ b/dunlinnotch/standins/users/box.py
@@ -47,7 +47,7 @@
         self.caller_address = f"{ip}:{_CALLER_PORT}"
         self.readiness_address = f"{ip}:{_READY_PORT}"
         self.directory_address = f"{ip}:{_DIRECTORY_PORT}"
-        self.figures = f"{ip}:{_FIGURES_PORT}"
+        self.metrics_address = f"{ip}:{_FIGURES_PORT}"
 
     def write_settings(self, store: Address, seeds: list[str], **changes: str) -> None:
         """Write the settings file as the platform does.
@@ -128,7 +128,7 @@
     async def figures_text(self) -> str:
         """Return what the metrics address tells; empty if nothing."""
         try:
-            answer = await Fetcher(self.figures).fetch("GET", "/metrics", timeout=_CALL_S)
+            answer = await Fetcher(self.metrics_address).fetch("GET", "/metrics", timeout=_CALL_S)
         except PlatformUnavailableError:
             return ""
         return answer.body.decode()
--- a/tests/test_users_processes.py
+++ b/tests/test_users_processes.py
@@ -34,7 +34,9 @@
         content = json.loads(answer.body)
         assert content["addresses"] == [box.caller_address]
         assert content["ttl"].endswith("ms")
-        metrics = (await Fetcher(box.figures).fetch("GET", "/metrics", timeout=5.0)).body.decode()
+        metrics = (
+            await Fetcher(box.metrics_address).fetch("GET", "/metrics", timeout=5.0)
+        ).body.decode()
         assert 'dunlinnotch_requests_total{kind="lookup",outcome="answered",reason=""} 1' in metrics
         assert "dunlinnotch_settings_version 1" in metrics
         assert await fetch_status(box.readiness_address, "/elsewhere") == 404
