--- a/dunlinnotch/standins/users/box.py
+++ b/dunlinnotch/standins/users/box.py
@@ -125,7 +125,7 @@
             while await fetch_status(self.readiness_address, "/api/readiness") == _READY:
                 await asyncio.sleep(_LOOK_S)
 
-    async def figures_text(self) -> str:
+    async def metrics_text(self) -> str:
         """Return what the metrics address tells; empty if nothing."""
         try:
             answer = await Fetcher(self.metrics_address).fetch("GET", "/metrics", timeout=_CALL_S)
