--- a/demo/users.py
+++ b/demo/users.py
@@ -135,7 +135,7 @@
         await calls("as usual", first)
         fleet.store.put("op", "config", document(2, "ingest"))
         for box in fleet.boxes:
-            await wait_until(lambda box=box: '"version":2' in box.events(), "version 2")  # type: ignore[misc]
+            await wait_until(lambda box=box: '"version":2' in box.read_log(), "version 2")  # type: ignore[misc]
         moved = await calls("route moved to ingest", second)
         lost += set(moved) != {"worker-3"}
         fleet.store.put("op", "config", document(3, "holdings"))
@@ -143,7 +143,7 @@
         row = leaving.row("holdings", zone="hall-a", state="draining", sequence=2)
         fleet.store.put("servers", leaving.instance, row)
         for box in fleet.boxes:
-            await wait_until(lambda box=box: "target-leaving" in box.events(), "target leaves")  # type: ignore[misc]
+            await wait_until(lambda box=box: "target-leaving" in box.read_log(), "target leaves")  # type: ignore[misc]
         lost += "worker-1" in await calls("moved back, worker-1 leaving", first)
         first.send_signal(signal.SIGTERM)
         await first.wait_ready(status=503)
--- a/dunlinnotch/standins/users/box.py
+++ b/dunlinnotch/standins/users/box.py
@@ -133,7 +133,7 @@
             return ""
         return answer.body.decode()
 
-    def events(self) -> str:
+    def read_log(self) -> str:
         """Return what the process has logged."""
         return self.log.read_text(encoding="utf-8")
 
--- a/tests/test_users_processes.py
+++ b/tests/test_users_processes.py
@@ -43,7 +43,7 @@
         box.send_signal(signal.SIGTERM)
         await box.wait_ready(status=503)
         assert await box.ended() == 0
-        events = [json.loads(line)["event"] for line in box.events().splitlines()]
+        events = [json.loads(line)["event"] for line in box.read_log().splitlines()]
         for event in ("started", "serving", "settings-in-force", "route", "stopping", "stopped"):
             assert event in events
 
@@ -56,7 +56,7 @@
         box.write_settings(fleet.store.address, [], **{"network.bind.front": "everywhere"})
         box.start()
         assert await box.ended() == 2
-        assert "config-invalid: network.bind.front = 'everywhere'" in box.events()
+        assert "config-invalid: network.bind.front = 'everywhere'" in box.read_log()
 
     run(tmp_path, test)
 
@@ -66,10 +66,10 @@
         box = await fleet.start_box()
         box.write_settings(fleet.store.address, [box.ip], **{"terms.bounds.grace": "3s"})
         box.send_signal(signal.SIGHUP)
-        await wait_until(lambda: '"event":"reloaded"' in box.events(), "reloaded")
+        await wait_until(lambda: '"event":"reloaded"' in box.read_log(), "reloaded")
         box.write_settings(fleet.store.address, [box.ip], **{"terms.bounds.grace": "long"})
         box.send_signal(signal.SIGHUP)
-        await wait_until(lambda: '"event":"reload-refused"' in box.events(), "refused")
+        await wait_until(lambda: '"event":"reload-refused"' in box.read_log(), "refused")
         assert (await fleet.call(box, "/lookup/a"))[0] == 200
 
     run(tmp_path, test)
@@ -78,11 +78,13 @@
 def test_killed_box_is_restarted_while_the_other_one_serves(tmp_path):
     async def test(fleet):
         first, second = await fleet.start_box(), await fleet.start_box()
-        await wait_until(lambda: '"box":"front-1"' in second.events(), "the boxes have met")
+        await wait_until(lambda: '"box":"front-1"' in second.read_log(), "the boxes have met")
         first.send_signal(signal.SIGKILL)
         assert await first.ended() == -signal.SIGKILL
         fleet.store.put("op", "config", document(2, "holdings"))
-        await wait_until(lambda: '"version":2' in second.events(), "the other box reads for itself")
+        await wait_until(
+            lambda: '"version":2' in second.read_log(), "the other box reads for itself"
+        )
         first.start()
         await first.wait_ready()
         assert (await fleet.call(first, "/lookup/a"))[0] == 200
