--- a/demo/users.py
+++ b/demo/users.py
@@ -148,7 +148,7 @@
         first.send_signal(signal.SIGTERM)
         await first.wait_ready(status=503)
         await calls("front-1 is asked to stop", second)
-        status = await first.ended()
+        status = await first.wait_exit()
         print(f"   front-1 ended with status {status}")
         lost += status != 0
     return lost
--- a/dunlinnotch/lab/faults.py
+++ b/dunlinnotch/lab/faults.py
@@ -285,7 +285,7 @@
             self.stops.append(box_stop)
             await box.wait_not_ready()
             box_stop.not_ready_at = self._loop.time()
-            await box.ended()
+            await box.wait_exit()
             box.start()
             await box.wait_ready()
 
--- a/dunlinnotch/standins/users/box.py
+++ b/dunlinnotch/standins/users/box.py
@@ -106,7 +106,7 @@
             self.process.kill()
             self.process.wait()
 
-    async def ended(self) -> int:
+    async def wait_exit(self) -> int:
         """Wait for the end of the process; return its status."""
         process = self.process
         assert process is not None
--- a/tests/test_users_processes.py
+++ b/tests/test_users_processes.py
@@ -42,7 +42,7 @@
         assert await fetch_status(box.readiness_address, "/elsewhere") == 404
         box.send_signal(signal.SIGTERM)
         await box.wait_ready(status=503)
-        assert await box.ended() == 0
+        assert await box.wait_exit() == 0
         events = [json.loads(line)["event"] for line in box.read_log().splitlines()]
         for event in ("started", "serving", "settings-in-force", "route", "stopping", "stopped"):
             assert event in events
@@ -55,7 +55,7 @@
         box = fleet.make_box()
         box.write_settings(fleet.store.address, [], **{"network.bind.front": "everywhere"})
         box.start()
-        assert await box.ended() == 2
+        assert await box.wait_exit() == 2
         assert "config-invalid: network.bind.front = 'everywhere'" in box.read_log()
 
     run(tmp_path, test)
@@ -80,7 +80,7 @@
         first, second = await fleet.start_box(), await fleet.start_box()
         await wait_until(lambda: '"box":"front-1"' in second.read_log(), "the boxes have met")
         first.send_signal(signal.SIGKILL)
-        assert await first.ended() == -signal.SIGKILL
+        assert await first.wait_exit() == -signal.SIGKILL
         fleet.store.put("op", "config", document(2, "holdings"))
         await wait_until(
             lambda: '"version":2' in second.read_log(), "the other box reads for itself"
