--- a/dunlinnotch/standins/users/box.py
+++ b/dunlinnotch/standins/users/box.py
@@ -41,7 +41,7 @@
         self.name = name
         self.zone = zone
         self.ip = ip
-        self.log = log
+        self.log_file = log
         self.settings = log.with_suffix(".conf")
         self.process: subprocess.Popen[bytes] | None = None
         self.caller_address = f"{ip}:{_CALLER_PORT}"
@@ -82,7 +82,7 @@
     def start(self) -> None:
         """Start the process."""
         environment = {**os.environ, "DUNLINNOTCH_NODE_FILE": str(self.settings)}
-        with self.log.open("ab") as log:
+        with self.log_file.open("ab") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", "dunlinnotch.platform"],
                 stdout=log,
@@ -135,7 +135,7 @@
 
     def read_log(self) -> str:
         """Return what the process has logged."""
-        return self.log.read_text(encoding="utf-8")
+        return self.log_file.read_text(encoding="utf-8")
 
 
 async def fetch_status(address: Address, path: str) -> int:
