--- a/dunlinnotch/standins/users/box.py
+++ b/dunlinnotch/standins/users/box.py
@@ -42,7 +42,7 @@
         self.zone = zone
         self.ip = ip
         self.log_file = log
-        self.settings = log.with_suffix(".conf")
+        self.settings_file = log.with_suffix(".conf")
         self.process: subprocess.Popen[bytes] | None = None
         self.caller_address = f"{ip}:{_CALLER_PORT}"
         self.readiness_address = f"{ip}:{_READY_PORT}"
@@ -77,11 +77,11 @@
             **changes,
         }
         text = "".join(f"{name}={value}\n" for name, value in fields.items())
-        self.settings.write_text(text, encoding="utf-8")
+        self.settings_file.write_text(text, encoding="utf-8")
 
     def start(self) -> None:
         """Start the process."""
-        environment = {**os.environ, "DUNLINNOTCH_NODE_FILE": str(self.settings)}
+        environment = {**os.environ, "DUNLINNOTCH_NODE_FILE": str(self.settings_file)}
         with self.log_file.open("ab") as log:
             self.process = subprocess.Popen(
                 [sys.executable, "-m", "dunlinnotch.platform"],
