--- a/dunlinnotch/lab/faults.py
+++ b/dunlinnotch/lab/faults.py
@@ -252,7 +252,7 @@
                 path=path_prefix(kind) + path.format(self._rng.randrange(40)),
                 body=b"",
                 idempotent=True,
-                deadline=kind.deadline_ms / 1000,
+                timeout=kind.deadline_ms / 1000,
                 retries=0,
                 disconnect_after=leaves_after,
             )
--- a/dunlinnotch/lab/run.py
+++ b/dunlinnotch/lab/run.py
@@ -97,7 +97,7 @@
             path=f"{path_prefix(kind)}{number}",
             body=b"" if kind.repeatable else _REQUEST_BODY,
             idempotent=kind.repeatable,
-            deadline=kind.deadline_ms / 1000,
+            timeout=kind.deadline_ms / 1000,
             retries=kind.retries,
         )
         self.request_count += 1
--- a/dunlinnotch/standins/users/caller.py
+++ b/dunlinnotch/standins/users/caller.py
@@ -89,7 +89,7 @@
     kind, method, path : str
     body : bytes
     idempotent : bool
-    deadline : float
+    timeout : float
         Seconds from the first attempt.
     retries : int
     disconnect_after : float, optional
@@ -101,7 +101,7 @@
     path: str
     body: bytes
     idempotent: bool
-    deadline: Seconds
+    timeout: Seconds
     retries: int
     disconnect_after: Seconds | None = None
 
@@ -153,7 +153,7 @@
         """Make one request; return its attempts."""
         attempts: list[AttemptRecord] = []
         failed: set[Address] = set()
-        until = self._loop.time() + plan.deadline
+        until = self._loop.time() + plan.timeout
         while len(attempts) <= plan.retries and self._loop.time() < until:
             await self._look_up()
             record = await self._attempt(number, plan, failed, until, again=bool(attempts))
