--- a/dunlinnotch/standins/platform.py
+++ b/dunlinnotch/standins/platform.py
@@ -109,7 +109,7 @@
                 self.rows[put.key] = Row(put.key, version, put.value)
             return TransactResult.COMMITTED
 
-    def lose_this_answer(self) -> bool:
+    def consume_lost_answer(self) -> bool:
         """Return whether the answer to a write is lost, using up one."""
         with self.lock:
             lost = self.faults.lose_answers > 0
@@ -157,7 +157,7 @@
 
     def _transact(self, exchange: Exchange, transaction: Transaction) -> None:
         result = self._store.transact(transaction)
-        if self._store.lose_this_answer():
+        if self._store.consume_lost_answer():
             return
         send(exchange, 200 if result is TransactResult.COMMITTED else 409, result)
 
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -52,7 +52,7 @@
     def transact(self, transaction: Transaction) -> TransactResult:
         self._up()
         result = self.store.transact(transaction)
-        if self.store.lose_this_answer():
+        if self.store.consume_lost_answer():
             raise PlatformUnavailableError("answer lost")
         return result
 
