--- a/dunlinnotch/standins/platform.py
+++ b/dunlinnotch/standins/platform.py
@@ -58,7 +58,7 @@
     boxes: tuple[ListedBox, ...] = ()
     faults: PlatformFaults = field(default_factory=PlatformFaults)
     stale_rows: dict[str, Row] = field(default_factory=dict)
-    shown_boxes: tuple[ListedBox, ...] = ()
+    listed_boxes: tuple[ListedBox, ...] = ()
     reads: int = 0
     writes: int = 0
     lock: threading.Lock = field(default_factory=threading.Lock)
@@ -69,14 +69,14 @@
             self.faults = faults
             self.stale_rows = dict(self.rows)
             if not faults.list_frozen:
-                self.shown_boxes = self.boxes
+                self.listed_boxes = self.boxes
 
     def set_boxes(self, boxes: tuple[ListedBox, ...]) -> None:
         """Set the list of boxes."""
         with self.lock:
             self.boxes = boxes
             if not self.faults.list_frozen:
-                self.shown_boxes = boxes
+                self.listed_boxes = boxes
 
     def visible(self) -> dict[str, Row]:
         """Return the rows that a read sees."""
@@ -151,7 +151,7 @@
             rows = self._store.scan(query.get("prefix", ""), query.get("after", ""), limit)
             send(exchange, 200, rows)
         elif url.path == "/boxes":
-            send(exchange, 200, self._store.shown_boxes)
+            send(exchange, 200, self._store.listed_boxes)
         else:
             send(exchange, 400, f"unknown path {url.path}")
 
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -66,7 +66,7 @@
 
     def list_boxes(self) -> list[ListedBox]:
         self._up()
-        return list(self.store.shown_boxes)
+        return list(self.store.listed_boxes)
 
 
 @dataclass(frozen=True)
