--- a/dunlinnotch/standins/__init__.py
+++ b/dunlinnotch/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform and for targets, run as processes of their own."""
+"""Stand-ins for the platform and for targets, each run as a separate process."""
--- a/dunlinnotch/standins/common.py
+++ b/dunlinnotch/standins/common.py
@@ -1,4 +1,4 @@
-"""What the stand-ins share: a server with a port for faults beside it."""
+"""HTTP server helpers shared by the stand-ins."""
 
 from __future__ import annotations
 
@@ -17,43 +17,54 @@
     from dunlinnotch.transport.server import Handler
     from dunlinnotch.types import Address
 
-JSON = Header("Content-Type", "application/json")
+JSON_CONTENT_TYPE = Header("Content-Type", "application/json")
 
 
 def refuse_head(reason: Reason, detail: str) -> HeadRefusal:
-    """Return the answer to a head that can't be used."""
-    return HeadRefusal(400, [JSON], f"{reason}: {detail}".encode())
+    """Return the 400 answer to an invalid request head."""
+    return HeadRefusal(400, [JSON_CONTENT_TYPE], f"{reason}: {detail}".encode())
 
 
 def serve(handler: Handler, address: Address) -> HttpServer:
-    """Serve ``handler`` at ``host:port`` (port 0: one from the kernel)."""
+    """Start a server for ``handler`` in the background.
+
+    Parameters
+    ----------
+    handler : Handler
+    address : str
+        As ``host:port``; port 0 lets the kernel choose a port.
+
+    Returns
+    -------
+    HttpServer
+    """
     server = HttpServer(split_address(address), handler, refuse_head, idle_timeout_s=600.0)
     server.start_in_background()
     return server
 
 
-def send(exchange: Exchange, status: int, value: object, *headers: Header) -> None:
-    """Answer with JSON."""
-    exchange.reply(status, [JSON, *headers], _codec.to_json(value))
+def send_json(exchange: Exchange, status: int, value: object, *headers: Header) -> None:
+    """Send an answer whose body is a value as JSON."""
+    exchange.reply(status, [JSON_CONTENT_TYPE, *headers], _codec.to_json(value))
 
 
-def guarded(handler: Handler) -> Handler:
-    """Return a handler that answers bad input with 400."""
+def with_error_answers(handler: Handler) -> Handler:
+    """Return a handler that answers an invalid request with status 400 and the error."""
 
-    def checked(exchange: Exchange) -> None:
+    def handle(exchange: Exchange) -> None:
         try:
             handler(exchange)
         except DunlinnotchError as error:
-            send(exchange, 400, str(error))
+            send_json(exchange, 400, str(error))
 
-    return checked
+    return handle
 
 
-def body_of(exchange: Exchange) -> bytes:
-    """Return the whole body of a request."""
+def read_body(exchange: Exchange) -> bytes:
+    """Return the complete body of a request."""
     return b"".join(exchange.body())
 
 
 def run_until_signal() -> None:
-    """Wait for the signal that ends a stand-in."""
+    """Block until the process receives a signal to terminate."""
     EndSignals().wait()
--- a/dunlinnotch/standins/platform.py
+++ b/dunlinnotch/standins/platform.py
@@ -1,8 +1,8 @@
-"""A stand-in for the platform: table service, object store, list of boxes.
+"""A stand-in for the platform: table service, object store and list of boxes.
 
 Run as ``python -m dunlinnotch.standins.platform --listen HOST:PORT --faults HOST:PORT``.  The
-fault port takes ``POST /faults`` with a :class:`PlatformFaults` and
-``PUT /boxes`` with the list to show.
+fault port accepts ``POST /faults`` with a :class:`PlatformFaults` and
+``PUT /boxes`` with the list of boxes to return.
 """
 
 from __future__ import annotations
@@ -17,7 +17,13 @@
 from dunlinnotch import _codec
 from dunlinnotch._wire import wire
 from dunlinnotch.protocol.platform import ListedBox, Row, Transaction, TransactResult
-from dunlinnotch.standins.common import body_of, guarded, run_until_signal, send, serve
+from dunlinnotch.standins.common import (
+    read_body,
+    run_until_signal,
+    send_json,
+    serve,
+    with_error_answers,
+)
 
 if TYPE_CHECKING:
     from dunlinnotch.transport.exchange import Exchange
@@ -26,20 +32,20 @@
 @wire
 @dataclass(frozen=True, slots=True)
 class PlatformFaults:
-    """What goes wrong at the platform.
+    """Faults of the platform.
 
     Parameters
     ----------
     down : bool
-        No request is answered.
+        Close each connection without an answer.
     slow_s : float
         Delay of each answer, in seconds.
     lose_answers : int
-        So many writes take effect, and their answers are lost.
+        Number of transactions whose answers are lost; the transactions still take effect.
     stale : bool
-        Reads show the table as it was when this was set.
+        Serve reads from a copy of the table made when the fault was set.
     list_frozen : bool
-        The list of boxes stays as it was when this was set.
+        Return the list of boxes as it was when the fault was set.
     """
 
     down: bool = False
@@ -51,7 +57,7 @@
 
 @dataclass(slots=True)
 class Store:
-    """Rows, objects and the list of boxes, with the faults in force."""
+    """Rows, objects and the list of boxes, with the active faults."""
 
     rows: dict[str, Row] = field(default_factory=dict)
     objects: dict[str, bytes] = field(default_factory=dict)
@@ -64,7 +70,7 @@
     lock: threading.Lock = field(default_factory=threading.Lock)
 
     def set_faults(self, faults: PlatformFaults) -> None:
-        """Put faults in force."""
+        """Replace the active faults."""
         with self.lock:
             self.faults = faults
             self.stale_rows = dict(self.rows)
@@ -78,25 +84,35 @@
             if not self.faults.list_frozen:
                 self.listed_boxes = boxes
 
-    def visible(self) -> dict[str, Row]:
-        """Return the rows that a read sees."""
+    def visible_rows(self) -> dict[str, Row]:
+        """Count a read and return the rows that it sees."""
         self.reads += 1
         return self.stale_rows if self.faults.stale else self.rows
 
     def read(self, key: str) -> Row | None:
-        """Return a row."""
+        """Return a row, or None if there is none."""
         with self.lock:
-            return self.visible().get(key)
+            return self.visible_rows().get(key)
 
     def scan(self, prefix: str, after: str, limit: int) -> list[Row]:
-        """Return rows in the order of their keys."""
+        """Return rows in the order of their keys.
+
+        Parameters
+        ----------
+        prefix : str
+            Only rows whose keys start with it.
+        after : str
+            Only rows whose keys are greater.
+        limit : int
+            Maximum number of rows.
+        """
         with self.lock:
-            rows = self.visible()
+            rows = self.visible_rows()
             keys = sorted(key for key in rows if key.startswith(prefix) and key > after)
             return [rows[key] for key in keys[:limit]]
 
     def transact(self, transaction: Transaction) -> TransactResult:
-        """Apply all puts, or none if a check fails."""
+        """Apply all puts of a transaction, or none if one of its version checks fails."""
         with self.lock:
             self.writes += 1
             for check in transaction.checks:
@@ -104,22 +120,22 @@
                 if (row.version if row else 0) != check.version:
                     return TransactResult.CONFLICT
             for put in transaction.puts:
-                old = self.rows.get(put.key)
-                version = old.version + 1 if old else 1
+                previous = self.rows.get(put.key)
+                version = previous.version + 1 if previous else 1
                 self.rows[put.key] = Row(put.key, version, put.value)
             return TransactResult.COMMITTED
 
     def consume_lost_answer(self) -> bool:
-        """Return whether the answer to a write is lost, using up one."""
+        """Return whether to lose the answer to a write, and count down if so."""
         with self.lock:
-            lost = self.faults.lose_answers > 0
-            if lost:
+            lose = self.faults.lose_answers > 0
+            if lose:
                 self.faults = replace(self.faults, lose_answers=self.faults.lose_answers - 1)
-            return lost
+            return lose
 
 
 class PlatformHandler:
-    """Serve the platform's port.
+    """Serve the HTTP interface of the platform.
 
     Parameters
     ----------
@@ -130,9 +146,9 @@
         self._store = store
 
     def __call__(self, exchange: Exchange) -> None:
-        """Serve one request, or cut it off if a fault says so."""
+        """Serve one request; close the connection without an answer if a fault requires it."""
         faults = self._store.faults
-        body = body_of(exchange)
+        body = read_body(exchange)
         if faults.slow_s:
             time.sleep(faults.slow_s)
         if faults.down:
@@ -140,55 +156,60 @@
         url = urlsplit(exchange.path)
         query = {name: values[0] for name, values in parse_qs(url.query).items()}
         if url.path.startswith("/objects/"):
-            self._object(exchange, unquote(url.path.removeprefix("/objects/")), body)
+            self._serve_object(exchange, unquote(url.path.removeprefix("/objects/")), body)
         elif url.path == "/table/transact":
             self._transact(exchange, _codec.from_json(Transaction, body))
         elif url.path == "/table/row":
             row = self._store.read(query.get("key", ""))
-            send(exchange, 200 if row else 404, row)
+            send_json(exchange, 200 if row else 404, row)
         elif url.path == "/table/rows":
             limit = int(query.get("limit", "100"))
             rows = self._store.scan(query.get("prefix", ""), query.get("after", ""), limit)
-            send(exchange, 200, rows)
+            send_json(exchange, 200, rows)
         elif url.path == "/boxes":
-            send(exchange, 200, self._store.listed_boxes)
+            send_json(exchange, 200, self._store.listed_boxes)
         else:
-            send(exchange, 400, f"unknown path {url.path}")
+            send_json(
+                exchange,
+                400,
+                f"unknown path {url.path}: expected /objects/NAME, /table/transact, /table/row, "
+                "/table/rows or /boxes",
+            )
 
     def _transact(self, exchange: Exchange, transaction: Transaction) -> None:
         result = self._store.transact(transaction)
         if self._store.consume_lost_answer():
             return
-        send(exchange, 200 if result is TransactResult.COMMITTED else 409, result)
+        send_json(exchange, 200 if result is TransactResult.COMMITTED else 409, result)
 
-    def _object(self, exchange: Exchange, name: str, body: bytes) -> None:
+    def _serve_object(self, exchange: Exchange, name: str, body: bytes) -> None:
         if exchange.method == "PUT":
             self._store.objects[name] = body
-            send(exchange, 200, "stored")
+            send_json(exchange, 200, "stored")
             return
         data = self._store.objects.get(name)
         exchange.reply(200 if data is not None else 404, [], data or b"")
 
 
-def fault_handler(store: Store, exchange: Exchange) -> None:
-    """Serve the fault port."""
-    body = body_of(exchange)
+def serve_faults(store: Store, exchange: Exchange) -> None:
+    """Serve the fault port: apply a change, then answer with the counts of reads and writes."""
+    body = read_body(exchange)
     if exchange.path == "/boxes":
         store.set_boxes(_codec.from_json(tuple[ListedBox, ...], body))
     elif exchange.path == "/faults":
         store.set_faults(_codec.from_json(PlatformFaults, body))
-    send(exchange, 200, {"reads": store.reads, "writes": store.writes})
+    send_json(exchange, 200, {"reads": store.reads, "writes": store.writes})
 
 
 def main() -> None:
-    """Run the stand-in."""
+    """Run the stand-in until it receives a signal to terminate."""
     parser = argparse.ArgumentParser(description="Stand-in for the platform.")
     parser.add_argument("--listen", required=True, help="HOST:PORT")
     parser.add_argument("--faults", required=True, help="HOST:PORT of the fault port")
     arguments = parser.parse_args()
     store = Store()
-    serve(guarded(PlatformHandler(store)), arguments.listen)
-    serve(guarded(lambda exchange: fault_handler(store, exchange)), arguments.faults)
+    serve(with_error_answers(PlatformHandler(store)), arguments.listen)
+    serve(with_error_answers(lambda exchange: serve_faults(store, exchange)), arguments.faults)
     run_until_signal()
 
 
--- a/dunlinnotch/standins/target.py
+++ b/dunlinnotch/standins/target.py
@@ -1,8 +1,8 @@
-"""A stand-in for a target: slots, a short queue, and faults at a port beside it.
+"""A stand-in for a target: slots, a short queue, and a separate port to inject faults.
 
-Run as ``python -m dunlinnotch.standins.target --listen HOST:PORT --faults HOST:PORT``.  Its
-answer names the request that it answers: the caller's ``X-Mark`` header and a
-digest of the body, so that a caller can tell whether it got its own answer.
+Run as ``python -m dunlinnotch.standins.target --listen HOST:PORT --faults HOST:PORT``.  The
+answer repeats the ``X-Mark`` header of the request and contains a digest of the request body,
+so that a caller can verify that the answer belongs to its request.
 """
 
 from __future__ import annotations
@@ -22,50 +22,57 @@
 from dunlinnotch._wire import wire
 from dunlinnotch.protocol import http
 from dunlinnotch.protocol.attempt import BodyCutError
-from dunlinnotch.standins.common import JSON, body_of, guarded, run_until_signal, send, serve
+from dunlinnotch.standins.common import (
+    JSON_CONTENT_TYPE,
+    read_body,
+    run_until_signal,
+    send_json,
+    serve,
+    with_error_answers,
+)
 from dunlinnotch.state.heads import Header
 from dunlinnotch.transport.probes import HEALTH_PATH
 
 if TYPE_CHECKING:
     from dunlinnotch.transport.exchange import Exchange
 
-MARK = "X-Mark"
-#: Bytes of filler that a caller asks for in the answer.
-FILLER = "X-Filler"
-#: Bytes that a caller asks for as a stream, in place of the usual answer.
-STREAM = "X-Stream"
-_PART = 64 * 1024
+MARK_HEADER = "X-Mark"
+#: Number of filler bytes to add to the answer.
+FILLER_HEADER = "X-Filler"
+#: Number of bytes to stream instead of the usual answer.
+STREAM_HEADER = "X-Stream"
+_STREAM_CHUNK_BYTES = 64 * 1024
 
 
 @wire
 @dataclass(frozen=True, slots=True)
 class TargetFaults:
-    """What goes wrong at a target.
+    """Faults of a target.
 
     Parameters
     ----------
     slowness : float
-        Factor on the time that work takes.
+        Factor applied to the duration of work.
     frozen : bool
-        Requests are taken and not answered until this ends.
+        Accept requests, but start none of them until the fault ends or their deadline passes.
     fail : bool
-        Work is answered with status 500 at once, unmarked.
+        Answer with status 500 at once, without the header that says that nothing ran.
     refuse : bool
-        Work is refused with the mark that says that it did not run.
+        Refuse requests, with the header that says that they did not run.
     drop : int
-        So many requests run and get no answer: the connection is closed.
+        Number of requests to run without an answer: the connection is closed.
     cut : int
-        So many answers are cut off in the middle of the body.
+        Number of answers to cut off in the middle of the body.
     longer : int
-        So many answers have bytes after their end.
+        Number of answers to send with surplus bytes after their end.
     late_s : float
         Delay of each answer after the work, in seconds.
     lie : bool
-        The load reported is always 0.
+        Always report a load of 0.
     draining : bool
-        Work is refused, and the target says that it leaves.
+        Refuse requests and report that the target is draining.
     cold_s : float
-        For so long after this is set, work takes three times as long.
+        Seconds of warm-up after the fault is set, in which work takes three times as long.
     """
 
     slowness: float = 1.0
@@ -84,14 +91,15 @@
 @wire
 @dataclass(frozen=True, slots=True)
 class TargetReport:
-    """What a target has done, for checks.
+    """Counts of what a target has done, for checks.
 
     Parameters
     ----------
     runs : dict of str to int
-        How often the request with each mark ran.
+        Number of runs of the request with each mark.
     probes : int
     cancelled : int
+        Requests whose caller disconnected before the answer.
     refused : int
     """
 
@@ -104,7 +112,7 @@
 @wire
 @dataclass(frozen=True, slots=True)
 class Echo:
-    """The answer to work."""
+    """Body of an answer: the target, and what identifies the request."""
 
     target: str
     mark: str
@@ -114,23 +122,24 @@
 
 
 class Target:
-    """The state of one target.
+    """A target: runs requests in slots and counts what it does.
 
     Parameters
     ----------
     name : str
     slots : int, default 6
+        Maximum number of requests that run at once.
     queue : int, default 12
-        Calls that may wait for a slot; more are refused.
+        Maximum number of requests that wait for a slot; more are refused.
     work_ms : float, default 6.0
-        Mean time of work.
+        Mean duration of work, in milliseconds.
     """
 
     def __init__(self, name: str, *, slots: int = 6, queue: int = 12, work_ms: float = 6.0) -> None:
         self.name = name
         self.incarnation = str(time.time_ns())
         self.faults = TargetFaults()
-        self.faults_at = time.monotonic()
+        self.faults_set_at = time.monotonic()
         self.runs: Counter[str] = Counter()
         self.probes = 0
         self.cancelled = 0
@@ -143,33 +152,33 @@
         self._running = 0
 
     def set_faults(self, faults: TargetFaults) -> None:
-        """Put faults in force."""
+        """Replace the active faults."""
         with self._state:
             self.faults = faults
-            self.faults_at = time.monotonic()
+            self.faults_set_at = time.monotonic()
             self._state.notify_all()
 
     def report(self) -> TargetReport:
-        """Return what the target has done."""
+        """Return the counts since the start."""
         return TargetReport(dict(self.runs), self.probes, self.cancelled, self.refused)
 
     def __call__(self, exchange: Exchange) -> None:
-        """Serve one request."""
+        """Answer one probe, or refuse or run one request."""
         if exchange.path == HEALTH_PATH:
             self.probes += 1
-            send(exchange, 200, "ok", *self._headers(besides=0))
+            send_json(exchange, 200, "ok", *self._headers(excluded=0))
             return
         with self._state:
-            full = self._in_flight >= self._slots + self._queue
-            if self.faults.draining or self.faults.refuse or full:
+            saturated = self._in_flight >= self._slots + self._queue
+            if self.faults.draining or self.faults.refuse or saturated:
                 self.refused += 1
-                mark = "draining" if self.faults.draining else "shed"
-                refusal = (Header(http.REFUSED, mark), *self._headers(besides=0))
+                reason = "draining" if self.faults.draining else "shed"
+                refusal = (Header(http.REFUSED, reason), *self._headers(excluded=0))
             else:
                 refusal = ()
                 self._in_flight += 1
         if refusal:
-            send(exchange, 503, mark, *refusal)
+            send_json(exchange, 503, reason, *refusal)
             return
         try:
             self._serve(exchange)
@@ -182,51 +191,53 @@
         try:
             hasher = xxhash.xxh64()
             size = 0
-            for part in exchange.body():
-                hasher.update(part)
-                size += len(part)
+            for chunk in exchange.body():
+                hasher.update(chunk)
+                size += len(chunk)
         except BodyCutError:
             self.cancelled += 1
             return
-        mark = exchange.header(MARK) or ""
+        mark = exchange.header(MARK_HEADER) or ""
         if self.faults.fail:
-            send(exchange, 500, "failed", *self._headers(besides=1))
+            send_json(exchange, 500, "failed", *self._headers(excluded=1))
             return
-        until = time.monotonic() + int(exchange.header(http.DEADLINE_MS) or "60000") / 1000
-        if not self._take_slot(exchange, until):
+        deadline = time.monotonic() + int(exchange.header(http.DEADLINE_MS) or "60000") / 1000
+        if not self._acquire_slot(exchange, deadline):
             return
         try:
             self.runs[mark] += 1
-            done = self._work(exchange)
+            completed = self._work(exchange)
         finally:
             with self._state:
                 self._running -= 1
                 self._state.notify_all()
-        if done:
-            filler = "x" * int(exchange.header(FILLER) or "0")
+        if completed:
+            filler = "x" * int(exchange.header(FILLER_HEADER) or "0")
             self._answer(exchange, Echo(self.name, mark, hasher.hexdigest(), size, filler))
 
-    def _take_slot(self, exchange: Exchange, until: float) -> bool:
+    def _acquire_slot(self, exchange: Exchange, deadline: float) -> bool:
         with self._state:
-            free = self._state.wait_for(
+            acquired = self._state.wait_for(
                 lambda: self._running < self._slots and not self.faults.frozen,
-                timeout=max(0.0, until - time.monotonic()),
+                timeout=max(0.0, deadline - time.monotonic()),
             )
-            if free:
+            if acquired:
                 self._running += 1
                 return True
         self.refused += 1
-        send(exchange, 503, "deadline", Header(http.REFUSED, "deadline"), *self._headers(besides=1))
+        send_json(
+            exchange, 503, "deadline", Header(http.REFUSED, "deadline"), *self._headers(excluded=1)
+        )
         return False
 
     def _work(self, exchange: Exchange) -> bool:
-        """Spend the time of the work; return False if the caller went."""
+        """Sleep for the duration of the work; return False if the caller disconnects first."""
         seconds = random.expovariate(1.0) * self._work_ms / 1000 * self.faults.slowness
-        if self._cold():
+        if self._is_warming_up():
             seconds *= 3
-        return self._pause(exchange, seconds + self.faults.late_s)
+        return self._sleep_while_connected(exchange, seconds + self.faults.late_s)
 
-    def _pause(self, exchange: Exchange, seconds: float) -> bool:
+    def _sleep_while_connected(self, exchange: Exchange, seconds: float) -> bool:
         descriptor = exchange.fileno()
         if descriptor is None:
             time.sleep(seconds)
@@ -238,8 +249,8 @@
             return False
         return True
 
-    def _cold(self) -> bool:
-        return time.monotonic() < self.faults_at + self.faults.cold_s
+    def _is_warming_up(self) -> bool:
+        return time.monotonic() < self.faults_set_at + self.faults.cold_s
 
     def _answer(self, exchange: Exchange, echo: Echo) -> None:
         faults = self.faults
@@ -247,13 +258,13 @@
             self.faults = replace(faults, drop=faults.drop - 1)
             return
         call_id = Header(http.CALL_ID, exchange.header(http.CALL_ID) or "")
-        headers = [JSON, call_id, *self._headers(besides=1)]
+        headers = [JSON_CONTENT_TYPE, call_id, *self._headers(excluded=1)]
         body = _codec.to_json(echo)
-        stream = int(exchange.header(STREAM) or "0")
-        if stream:
+        stream_bytes = int(exchange.header(STREAM_HEADER) or "0")
+        if stream_bytes:
             exchange.begin(200, headers, length=None)
-            for _ in range(stream // _PART):
-                exchange.send(b"x" * _PART)
+            for _ in range(stream_bytes // _STREAM_CHUNK_BYTES):
+                exchange.send(b"x" * _STREAM_CHUNK_BYTES)
             exchange.finish()
             return
         if faults.cut > 0:
@@ -269,9 +280,11 @@
             return
         exchange.reply(200, headers, body)
 
-    def _headers(self, *, besides: int) -> tuple[Header, ...]:
-        load = 0 if self.faults.lie else max(0, self._in_flight - besides)
-        state = "draining" if self.faults.draining else "cold" if self._cold() else "running"
+    def _headers(self, *, excluded: int) -> tuple[Header, ...]:
+        load = 0 if self.faults.lie else max(0, self._in_flight - excluded)
+        state = (
+            "draining" if self.faults.draining else "cold" if self._is_warming_up() else "running"
+        )
         return (
             Header(http.LOAD, str(load)),
             Header(http.TARGET_STATE, state),
@@ -279,16 +292,16 @@
         )
 
 
-def fault_handler(target: Target, exchange: Exchange) -> None:
-    """Serve the fault port."""
-    body = body_of(exchange)
+def serve_faults(target: Target, exchange: Exchange) -> None:
+    """Serve the fault port: replace the faults on POST, then answer with the report."""
+    body = read_body(exchange)
     if exchange.method == "POST":
         target.set_faults(_codec.from_json(TargetFaults, body))
-    send(exchange, 200, target.report())
+    send_json(exchange, 200, target.report())
 
 
 def main() -> None:
-    """Run the stand-in."""
+    """Run the stand-in until it receives a signal to terminate."""
     parser = argparse.ArgumentParser(description="Stand-in for a target.")
     parser.add_argument("--listen", required=True, help="HOST:PORT")
     parser.add_argument("--faults", required=True, help="HOST:PORT of the fault port")
@@ -296,8 +309,8 @@
     parser.add_argument("--work-ms", type=float, default=6.0)
     arguments = parser.parse_args()
     target = Target(arguments.listen, slots=arguments.slots, work_ms=arguments.work_ms)
-    serve(guarded(target), arguments.listen)
-    serve(guarded(lambda exchange: fault_handler(target, exchange)), arguments.faults)
+    serve(with_error_answers(target), arguments.listen)
+    serve(with_error_answers(lambda exchange: serve_faults(target, exchange)), arguments.faults)
     run_until_signal()
 
 
