--- a/dunlinnotch/standins/users/__init__.py
+++ b/dunlinnotch/standins/users/__init__.py
@@ -1,5 +1,5 @@
-"""Stand-ins of the users' platform: its store and its workers, with faults on demand.
+"""Stand-ins for the users' platform: its store, workers and callers, with injected faults.
 
-They speak the users' protocol on loopback, so that the adapter and the whole
-entry box are tested without the users' bench.
+They implement the users' protocol on loopback addresses, so that the platform adapter and
+complete entry boxes can be tested without the platform itself.
 """
--- a/dunlinnotch/standins/users/box.py
+++ b/dunlinnotch/standins/users/box.py
@@ -1,4 +1,4 @@
-"""An entry box as a process on a loopback address, with its settings file."""
+"""An entry box that runs as a separate process on a loopback address."""
 
 from __future__ import annotations
 
@@ -18,23 +18,31 @@
 
     from dunlinnotch.types import Address, Seconds
 
-_READY = 200
-_READY_S = 20.0
-_LOOK_S = 0.02
-_CALL_S = 5.0
+_READY_STATUS = 200
+_READY_TIMEOUT_S = 20.0
+_POLL_INTERVAL_S = 0.02
+_REQUEST_TIMEOUT_S = 5.0
 _CALLER_PORT, _READY_PORT, _CONTROL_PORT, _DIRECTORY_PORT = 8144, 8140, 8146, 8143
-_FIGURES_PORT = 9464
+_METRICS_PORT = 9464
 
 
 class BoxProcess:
-    """One box process.
+    """An entry box in a process of its own, with its settings file and its log.
 
     Parameters
     ----------
     name, zone, ip : str
-        ``ip`` is a loopback number of its own.
-    log : Path
-        Gets its standard output.
+        ``ip`` is a loopback address that no other box uses.
+    log : pathlib.Path
+        File that receives the standard output and error of the process; the settings file
+        is written beside it.
+
+    Attributes
+    ----------
+    process : subprocess.Popen or None
+        None until the box has been started.
+    caller_address, readiness_address, directory_address, metrics_address : str
+        Addresses at which the box listens, as ``host:port``.
     """
 
     def __init__(self, name: str, zone: str, ip: str, log: Path) -> None:
@@ -47,19 +55,19 @@
         self.caller_address = f"{ip}:{_CALLER_PORT}"
         self.readiness_address = f"{ip}:{_READY_PORT}"
         self.directory_address = f"{ip}:{_DIRECTORY_PORT}"
-        self.metrics_address = f"{ip}:{_FIGURES_PORT}"
+        self.metrics_address = f"{ip}:{_METRICS_PORT}"
 
     def write_settings(self, store: Address, seeds: list[str], **changes: str) -> None:
-        """Write the settings file as the platform does.
+        """Write the settings file in the format of the platform.
 
         Parameters
         ----------
         store : str
-            Where the box reaches the store.
+            Address of the store.
         seeds : list of str
-            IP numbers.
+            IP addresses of boxes to contact first.
         **changes : str
-            Fields by their full names.
+            Further fields, or other values of fields, by their full names.
         """
         fields = {
             "self.node-name": self.name,
@@ -80,7 +88,7 @@
         self.settings_file.write_text(text, encoding="utf-8")
 
     def start(self) -> None:
-        """Start the process."""
+        """Start the process; its output is appended to the log file."""
         environment = {**os.environ, "DUNLINNOTCH_NODE_FILE": str(self.settings_file)}
         with self.log_file.open("ab") as log:
             self.process = subprocess.Popen(
@@ -92,7 +100,7 @@
 
     @property
     def running(self) -> bool:
-        """Whether the process has been started and has not ended."""
+        """Whether the process has been started and has not exited."""
         return self.process is not None and self.process.poll() is None
 
     def send_signal(self, number: signal.Signals) -> None:
@@ -101,65 +109,75 @@
             self.process.send_signal(number)
 
     def kill(self) -> None:
-        """Kill the process and wait for its end."""
+        """Kill the process and wait until it has exited."""
         if self.process is not None:
             self.process.kill()
             self.process.wait()
 
     async def wait_exit(self) -> int:
-        """Wait for the end of the process; return its status."""
+        """Wait until the process has exited; return its exit status."""
         process = self.process
         assert process is not None
-        await wait_until(lambda: process.poll() is not None, f"{self.name} has ended")
+        await wait_until(lambda: process.poll() is not None, f"{self.name} has exited")
         return process.returncode
 
-    async def wait_ready(self, *, status: int = _READY) -> None:
-        """Wait until the readiness of the box has a status."""
-        async with asyncio.timeout(_READY_S):
+    async def wait_ready(self, *, status: int = _READY_STATUS) -> None:
+        """Wait until the readiness endpoint answers with a status."""
+        async with asyncio.timeout(_READY_TIMEOUT_S):
             while await fetch_status(self.readiness_address, "/api/readiness") != status:
-                await asyncio.sleep(_LOOK_S)
+                await asyncio.sleep(_POLL_INTERVAL_S)
 
     async def wait_not_ready(self) -> None:
-        """Wait until the box is not ready, or not there."""
-        async with asyncio.timeout(_READY_S):
-            while await fetch_status(self.readiness_address, "/api/readiness") == _READY:
-                await asyncio.sleep(_LOOK_S)
+        """Wait until the box is not ready or cannot be reached."""
+        async with asyncio.timeout(_READY_TIMEOUT_S):
+            while await fetch_status(self.readiness_address, "/api/readiness") == _READY_STATUS:
+                await asyncio.sleep(_POLL_INTERVAL_S)
 
     async def metrics_text(self) -> str:
-        """Return what the metrics address tells; empty if nothing."""
+        """Return the metrics exposition, or an empty text if the box cannot be reached."""
         try:
-            answer = await Fetcher(self.metrics_address).fetch("GET", "/metrics", timeout=_CALL_S)
+            answer = await Fetcher(self.metrics_address).fetch(
+                "GET", "/metrics", timeout=_REQUEST_TIMEOUT_S
+            )
         except PlatformUnavailableError:
             return ""
         return answer.body.decode()
 
     def read_log(self) -> str:
-        """Return what the process has logged."""
+        """Return the text of the log file."""
         return self.log_file.read_text(encoding="utf-8")
 
 
 async def fetch_status(address: Address, path: str) -> int:
-    """Return the status of one answer; 0 if there was none."""
+    """Return the status of the answer to a GET request; 0 if there was no answer."""
     try:
-        return (await Fetcher(address).fetch("GET", path, timeout=_CALL_S)).status
+        return (await Fetcher(address).fetch("GET", path, timeout=_REQUEST_TIMEOUT_S)).status
     except PlatformUnavailableError:
         return 0
 
 
 async def wait_until(
-    condition: Callable[[], bool], what: str, *, within: Seconds = _READY_S
+    condition: Callable[[], bool], what: str, *, timeout: Seconds = _READY_TIMEOUT_S
 ) -> None:
     """Wait until a condition holds.
 
+    Parameters
+    ----------
+    condition : callable
+    what : str
+        The condition in words, for the error.
+    timeout : float, default 20.0
+        Maximum wait, in seconds.
+
     Raises
     ------
     TimeoutError
-        Names what was waited for.
+        If the condition does not hold in time.
     """
     try:
-        async with asyncio.timeout(within):
+        async with asyncio.timeout(timeout):
             while not condition():
-                await asyncio.sleep(_LOOK_S)
+                await asyncio.sleep(_POLL_INTERVAL_S)
     except TimeoutError:
-        msg = f"not within {within:g} s: {what}"
+        msg = f"condition not met within {timeout:g} s: {what}"
         raise TimeoutError(msg) from None
--- a/dunlinnotch/standins/users/operator.py
+++ b/dunlinnotch/standins/users/operator.py
@@ -1,4 +1,4 @@
-"""The operator's document, as the users' operators write it."""
+"""The configuration document that operators write to the store."""
 
 from __future__ import annotations
 
@@ -8,15 +8,17 @@
 
 @dataclass(frozen=True, slots=True)
 class RoutePlan:
-    """One route of the document.
+    """One route of the configuration document.
 
     Parameters
     ----------
     name, prefix, service : str
     kind : str
-        ``safe``, ``unsafe`` or ``upload``.
+        Route type: ``safe``, ``unsafe`` or ``upload``.
     target_latency_ms, timeout_ms : float
-    attempts, priority : int
+    attempts : int
+        Maximum number of attempts for each request.
+    priority : int
     """
 
     name: str
@@ -32,7 +34,18 @@
 def operator_document(
     version: int, *, host: str, routes: list[RoutePlan], services: list[str]
 ) -> dict[str, Any]:
-    """Return a whole configuration."""
+    """Return a complete configuration document.
+
+    Parameters
+    ----------
+    version : int
+        Number of the version, without its prefix.
+    host : str
+        Host name that all routes match.
+    routes : list of RoutePlan
+    services : list of str
+        Names of services; each has the health path ``/health``.
+    """
     return {
         "version": f"r{version}",
         "routes": [
