--- a/dunlinnotch/standins/users/caller.py
+++ b/dunlinnotch/standins/users/caller.py
@@ -1,4 +1,4 @@
-"""A caller as the users' pages describe it: looks up, connects, asks again by the rules."""
+"""A caller of the users' platform: resolves a host, sends a request and retries if allowed."""
 
 from __future__ import annotations
 
@@ -19,43 +19,57 @@
 
     from dunlinnotch.types import Address, Seconds
 
-_LOOK_UPS = 3
-_LOOK_UP_S = 1.0
-_CONNECT_S = 1.0
-_HEAD_MOST = 64 * 1024
-#: Answers that promise that the request has not run.
+_MAX_LOOKUPS = 3
+_LOOKUP_TIMEOUT_S = 1.0
+_CONNECT_TIMEOUT_S = 1.0
+_MAX_HEAD_BYTES = 64 * 1024
+#: Statuses of answers that guarantee that the request was not run.
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
-#: Answers after which nobody asks again.
-_FINAL = frozenset({400, 401, 404, 413, 431})
-#: A caller waits as told for up to this part of the time that it has left.
-_WAIT_SHARE = 1 / 3
+#: Statuses after which a caller does not retry.
+_FINAL_STATUSES = frozenset({400, 401, 404, 413, 431})
+#: Share of the remaining time for which a caller waits at most before a retry.
+_MAX_RETRY_DELAY_SHARE = 1 / 3
 
 
 class AttemptOutcome(StrEnum):
-    """How an attempt ended for the caller."""
+    """How an attempt ended from the caller's point of view."""
 
     ANSWERED = "answered"
-    #: The connection ended, or said something that is no answer, before the whole answer.
+    #: The connection closed, or sent invalid HTTP, before the answer was complete.
     CUT = "cut"
-    #: No answer before the deadline.
+    #: No complete answer before the deadline.
     TIMED_OUT = "timed-out"
-    #: Its caller closed the connection before the answer.
+    #: The caller closed the connection before the answer was complete.
     LEFT = "left"
-    #: No connection came about.
+    #: No connection could be established.
     NOT_CONNECTED = "not-connected"
 
 
 @dataclass(slots=True)
 class AttemptRecord:
-    """One attempt, as its caller saw it.
+    """One attempt of a request, as its caller saw it.
 
     Parameters
     ----------
     request_number : int
-        Number of the request that it belongs to.
-    id, kind, box, method, path : str
-    sent_at, ended_at, deadline : float
-        Monotonic seconds; its caller waits ``until`` then.
+        Number of the request; all its attempts have the same.
+    id : str
+        Id of the attempt, sent as ``Attempt-Id``.
+    kind, box, method, path : str
+    sent_at, ended_at : float
+        Monotonic seconds.
+    deadline : float
+        Monotonic seconds at which the caller stops waiting.
+    outcome : AttemptOutcome
+    status : int, default 0
+        Status of the answer; 0 if there was none.
+    body : bytes
+    answered_id : str
+        ``Attempt-Id`` of the answer; empty if it had none.
+    sealed : bool
+        Whether the answer had a ``Response-Seal``.
+    retry_after : float
+        Delay before a retry that the answer requested, in seconds.
     """
 
     request_number: int
@@ -76,24 +90,27 @@
 
     @property
     def succeeded(self) -> bool:
-        """Whether the caller has what it asked for."""
+        """Whether the caller received a complete answer with a 2xx status."""
         return self.outcome is AttemptOutcome.ANSWERED and 200 <= self.status < 300
 
 
 @dataclass(frozen=True, slots=True)
 class CallerRequestPlan:
-    """What a caller asks for.
+    """A request to send, and how the caller handles it.
 
     Parameters
     ----------
     kind, method, path : str
     body : bytes
     idempotent : bool
+        Whether the caller may retry after an attempt that may have run.
     timeout : float
-        Seconds from the first attempt.
+        Seconds from the first attempt to the deadline of all attempts.
     retries : int
+        Maximum number of attempts after the first.
     disconnect_after : float, optional
-        Seconds after which it closes the connection of an attempt, whatever is under way.
+        Seconds after which the caller closes the connection of an attempt, even if the
+        answer is being received.
     """
 
     kind: str
@@ -107,23 +124,30 @@
 
 
 @dataclass(slots=True)
-class _Head:
+class _AnswerHead:
     status: int
     headers: dict[str, str] = field(default_factory=dict)
 
 
 class CallerStandin:
-    """One caller; it makes one request at a time.
+    """One caller; it sends one request at a time.
 
     Parameters
     ----------
     zone, host : str
+        Where the caller is, and the host name that it resolves.
     directories : callable
-        Returns where to ask which boxes to use, nearer ones first.
+        Given a zone, returns the addresses that resolve host names, nearer ones first.
     next_id : callable
+        Returns the id of the next attempt.
     rng : random.Random
     keep_alive : bool
-        Whether it keeps its connection for the next request.
+        Whether the connection is reused for the next request.
+
+    Attributes
+    ----------
+    lookups, failed_lookups : int
+        Number of directory requests sent, and of those that failed.
     """
 
     def __init__(
@@ -144,43 +168,47 @@
         self._keep_alive = keep_alive
         self._loop = asyncio.get_running_loop()
         self._addresses: list[Address] = []
-        self._fresh_until: Seconds = 0.0
-        self._kept: tuple[Address, asyncio.StreamReader, asyncio.StreamWriter] | None = None
+        self._addresses_expire_at: Seconds = 0.0
+        self._idle_connection: tuple[Address, asyncio.StreamReader, asyncio.StreamWriter] | None = (
+            None
+        )
         self.lookups = 0
         self.failed_lookups = 0
 
     async def request(self, number: int, plan: CallerRequestPlan) -> list[AttemptRecord]:
-        """Make one request; return its attempts."""
+        """Send one request, retry it if allowed, and return its attempts."""
         attempts: list[AttemptRecord] = []
         failed: set[Address] = set()
-        until = self._loop.time() + plan.timeout
-        while len(attempts) <= plan.retries and self._loop.time() < until:
-            await self._look_up()
-            record = await self._attempt(number, plan, failed, until, again=bool(attempts))
+        deadline = self._loop.time() + plan.timeout
+        while len(attempts) <= plan.retries and self._loop.time() < deadline:
+            await self._update_addresses()
+            record = await self._attempt(number, plan, failed, deadline, is_retry=bool(attempts))
             if record is None:
-                await asyncio.sleep(min(0.1, max(0.0, until - self._loop.time())))
+                await asyncio.sleep(min(0.1, max(0.0, deadline - self._loop.time())))
                 continue
             attempts.append(record)
-            if not self._asks_again(plan, record):
+            if not self._should_retry(plan, record):
                 break
             failed.add(record.box)
-            left = until - self._loop.time()
+            remaining = deadline - self._loop.time()
             if record.retry_after > 0:
-                await asyncio.sleep(max(0.0, min(record.retry_after, left * _WAIT_SHARE)))
+                await asyncio.sleep(
+                    max(0.0, min(record.retry_after, remaining * _MAX_RETRY_DELAY_SHARE))
+                )
         return attempts
 
     def close(self) -> None:
-        """Let go of the connection kept."""
-        if self._kept is not None:
-            self._kept[2].close()
-            self._kept = None
+        """Close the idle connection, if there is one."""
+        if self._idle_connection is not None:
+            self._idle_connection[2].close()
+            self._idle_connection = None
 
     @staticmethod
-    def _asks_again(plan: CallerRequestPlan, record: AttemptRecord) -> bool:
+    def _should_retry(plan: CallerRequestPlan, record: AttemptRecord) -> bool:
         if record.outcome is AttemptOutcome.NOT_CONNECTED:
             return True
         if record.outcome is AttemptOutcome.ANSWERED:
-            if record.status < 300 or record.status in _FINAL:
+            if record.status < 300 or record.status in _FINAL_STATUSES:
                 return False
             if record.status in NOT_RUN_STATUSES:
                 return True
@@ -188,17 +216,17 @@
             return False
         return plan.idempotent
 
-    # -- where to go
+    # Lookup of box addresses
 
-    async def _look_up(self) -> None:
-        if self._loop.time() < self._fresh_until:
+    async def _update_addresses(self) -> None:
+        if self._loop.time() < self._addresses_expire_at:
             return
         query = urlencode({"name": self._host, "region": "lab", "zone": self._zone})
-        for address in self._directories(self._zone)[:_LOOK_UPS]:
+        for address in self._directories(self._zone)[:_MAX_LOOKUPS]:
             self.lookups += 1
             try:
                 answer = await Fetcher(address).fetch(
-                    "GET", f"/api/resolve?{query}", timeout=_LOOK_UP_S
+                    "GET", f"/api/resolve?{query}", timeout=_LOOKUP_TIMEOUT_S
                 )
             except PlatformUnavailableError:
                 self.failed_lookups += 1
@@ -206,81 +234,88 @@
             if answer.status != 200:
                 self.failed_lookups += 1
                 continue
-            plain = json.loads(answer.body)
-            self._addresses = list(plain["addresses"])
-            self._fresh_until = self._loop.time() + _seconds(plain["ttl"])
-            if self._kept is not None and self._kept[0] not in self._addresses:
+            content = json.loads(answer.body)
+            self._addresses = list(content["addresses"])
+            self._addresses_expire_at = self._loop.time() + _parse_seconds(content["ttl"])
+            if (
+                self._idle_connection is not None
+                and self._idle_connection[0] not in self._addresses
+            ):
                 self.close()
             return
 
-    # -- one attempt
+    # Attempts
 
     async def _attempt(
         self,
         number: int,
         plan: CallerRequestPlan,
         failed: set[Address],
-        until: Seconds,
+        deadline: Seconds,
         *,
-        again: bool,
+        is_retry: bool,
     ) -> AttemptRecord | None:
-        """Send the request once; None if no address is known."""
-        link = None if again else self._take_kept()
-        box = link[0] if link else self._draw(failed)
+        """Send the request once; return None if no box address is known."""
+        connection = None if is_retry else self._take_idle_connection()
+        box = connection[0] if connection else self._choose_box(failed)
         if box is None:
             return None
         now = self._loop.time()
         record = AttemptRecord(number, self._next_id(), plan.kind, box, plan.method, plan.path, now)
-        record.deadline = until
+        record.deadline = deadline
         try:
-            if link is None:
-                async with asyncio.timeout(min(_CONNECT_S, max(0.01, until - now))):
-                    reader, writer = await asyncio.open_connection(*_host_port(box))
+            if connection is None:
+                async with asyncio.timeout(min(_CONNECT_TIMEOUT_S, max(0.01, deadline - now))):
+                    reader, writer = await asyncio.open_connection(*_split_address(box))
             else:
-                _, reader, writer = link
+                _, reader, writer = connection
         except (OSError, TimeoutError):
             record.ended_at = self._loop.time()
             return record
         record.sent_at = self._loop.time()
-        keep = False
-        leaves_at = (
+        reusable = False
+        disconnect_at = (
             math.inf if plan.disconnect_after is None else record.sent_at + plan.disconnect_after
         )
         try:
-            async with asyncio.timeout_at(min(until, leaves_at)):
-                writer.write(self._bytes(plan, record, until - record.sent_at))
-                keep = await self._read(reader, record)
+            async with asyncio.timeout_at(min(deadline, disconnect_at)):
+                writer.write(self._format_request(plan, record, deadline - record.sent_at))
+                reusable = await self._read(reader, record)
             record.outcome = AttemptOutcome.ANSWERED
         except TimeoutError:
-            left = leaves_at < until
-            record.outcome = AttemptOutcome.LEFT if left else AttemptOutcome.TIMED_OUT
+            disconnected = disconnect_at < deadline
+            record.outcome = AttemptOutcome.LEFT if disconnected else AttemptOutcome.TIMED_OUT
         except (OSError, ValueError, EOFError, asyncio.LimitOverrunError):
             record.outcome = AttemptOutcome.CUT
         finally:
             record.ended_at = self._loop.time()
-            if keep and self._keep_alive:
-                self._kept = (box, reader, writer)
+            if reusable and self._keep_alive:
+                self._idle_connection = (box, reader, writer)
             else:
                 writer.close()
         return record
 
-    def _take_kept(self) -> tuple[Address, asyncio.StreamReader, asyncio.StreamWriter] | None:
-        link, self._kept = self._kept, None
-        if link is not None and (link[1].at_eof() or link[2].is_closing()):
-            link[2].close()
+    def _take_idle_connection(
+        self,
+    ) -> tuple[Address, asyncio.StreamReader, asyncio.StreamWriter] | None:
+        connection, self._idle_connection = self._idle_connection, None
+        if connection is not None and (connection[1].at_eof() or connection[2].is_closing()):
+            connection[2].close()
             return None
-        return link
+        return connection
 
-    def _draw(self, failed: set[Address]) -> Address | None:
-        free = [a for a in self._addresses if a not in failed] or self._addresses
-        return self._rng.choice(free) if free else None
+    def _choose_box(self, failed: set[Address]) -> Address | None:
+        candidates = [a for a in self._addresses if a not in failed] or self._addresses
+        return self._rng.choice(candidates) if candidates else None
 
-    def _bytes(self, plan: CallerRequestPlan, record: AttemptRecord, left: Seconds) -> bytes:
+    def _format_request(
+        self, plan: CallerRequestPlan, record: AttemptRecord, remaining: Seconds
+    ) -> bytes:
         lines = [
             f"{plan.method} {plan.path} HTTP/1.1",
             f"Host: {self._host}",
             f"Attempt-Id: {record.id}",
-            f"Deadline-Ms: {max(1, int(left * 1000))}",
+            f"Deadline-Ms: {max(1, int(remaining * 1000))}",
         ]
         if plan.body:
             lines.append(f"Content-Length: {len(plan.body)}")
@@ -289,7 +324,7 @@
         return ("\r\n".join(lines) + "\r\n\r\n").encode() + plan.body
 
     async def _read(self, reader: asyncio.StreamReader, record: AttemptRecord) -> bool:
-        """Read one answer to its last byte; return whether the connection may be kept."""
+        """Read one complete answer; return whether the connection can be reused."""
         head = _parse_head(await reader.readuntil(b"\r\n\r\n"))
         record.status = head.status
         record.answered_id = head.headers.get("attempt-id", "")
@@ -314,25 +349,25 @@
     return body
 
 
-def _parse_head(raw: bytes) -> _Head:
-    first, *lines = raw.decode("latin-1").strip().split("\r\n")
-    version, status = first.split(maxsplit=2)[:2]
+def _parse_head(raw: bytes) -> _AnswerHead:
+    status_line, *lines = raw.decode("latin-1").strip().split("\r\n")
+    version, status = status_line.split(maxsplit=2)[:2]
     if not version.startswith("HTTP/1."):
-        msg = f"no answer: {first[:40]!r}"
+        msg = f"invalid status line {status_line[:40]!r}: expected HTTP/1.x and a status"
         raise ValueError(msg)
-    head = _Head(int(status))
+    head = _AnswerHead(int(status))
     for line in lines:
         name, _, value = line.partition(":")
         head.headers[name.strip().lower()] = value.strip()
     return head
 
 
-def _host_port(address: Address) -> tuple[str, int]:
+def _split_address(address: Address) -> tuple[str, int]:
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
-def _seconds(text: str) -> Seconds:
+def _parse_seconds(text: str) -> Seconds:
     if text.endswith("ms"):
         return float(text[:-2]) / 1000
     return float(text.removesuffix("s"))
