--- a/dunlinnotch/standins/users/worker.py
+++ b/dunlinnotch/standins/users/worker.py
@@ -1,4 +1,4 @@
-"""A worker as the users' pages describe it, with the ways in which it goes wrong."""
+"""A worker of the users' platform, which runs requests and can inject faults."""
 
 from __future__ import annotations
 
@@ -18,43 +18,55 @@
 
     from dunlinnotch.transport.stream.server import Exchange
 
-_FOREVER_S = 3600.0
-_numbers = itertools.count(1)
+_NO_ANSWER_DELAY_S = 3600.0
+_instance_numbers = itertools.count(1)
 
 
 class WorkerFault(StrEnum):
-    """What is wrong with an answer."""
+    """A fault of an answer."""
 
     NONE = "none"
-    #: It runs the request and breaks off before the answer.
+    #: Runs the request and closes the connection without an answer.
     LOST = "lost"
-    #: It ends the answer early.
+    #: Closes the connection before the end of the body.
     CUT = "cut"
-    #: It sends bytes that are no answer.
+    #: Sends bytes that are not HTTP.
     NOISE = "noise"
-    #: It sends a second whole answer right after the first.
+    #: Sends the answer twice in one write.
     SURPLUS = "surplus"
-    #: It sends the second answer where the next one is due.
+    #: Sends the answer again a little later, when the connection may already be reused.
     LATE_SURPLUS = "late-surplus"
-    #: Its answer has no length and ends with the connection.
+    #: Sends an answer without a length, which ends when the connection closes.
     UNFRAMED = "unframed"
-    #: The same, and the connection is reset before the end.
+    #: Sends an answer without a length and resets the connection before its end.
     UNFRAMED_RESET = "unframed-reset"
-    #: It answers 500 and has run the request.
+    #: Runs the request and answers 500.
     ERROR = "error"
-    #: It answers 503 without saying that the request did not run.
+    #: Runs the request and answers 503 without ``Not-Executed``.
     BARE_503 = "bare-503"
-    #: Its success has no seal.
+    #: Sends a successful answer without ``Response-Seal``.
     UNSEALED = "unsealed"
-    #: It never answers.
+    #: Runs the request and never answers.
     MUTE = "mute"
-    #: It answers a long request before its body is in, and goes on reading.
+    #: Rejects the request before its body has been received.
     EARLY = "early"
 
 
 @dataclass(slots=True)
 class WorkerRun:
-    """One request that a worker worked on; times in monotonic seconds, 0 if not yet."""
+    """One request that a worker has started to run.
+
+    Parameters
+    ----------
+    request_id, method, path : str
+    body : bytes
+    deadline_ms : int
+        Value of ``Deadline-Ms``.
+    arrived_at, ended_at : float
+        Monotonic seconds; ``ended_at`` is 0 while the run is in progress.
+    finished : bool
+        Whether the work was done completely.
+    """
 
     request_id: str
     method: str
@@ -68,7 +80,7 @@
 
 @dataclass(slots=True)
 class Arrival:
-    """One request that reached a worker, run or not, and what it was told.
+    """One request that a worker received, whether or not it was run.
 
     Parameters
     ----------
@@ -76,13 +88,13 @@
     arrived_at, answered_at : float
         Monotonic seconds; ``answered_at`` is 0 until there is an answer.
     time_limit : float
-        Seconds that the worker was given for it.
+        Seconds that the request allows, from ``Deadline-Ms``.
     rejected : bool
-        Whether it was not run.
+        Whether the worker rejected the request with ``Not-Executed``.
     backoff : float
-        Seconds of rest asked for.
+        Back-off that the answer requested, in seconds; 0 for none.
     announced_leaving : bool
-        Whether the answer said that the worker leaves.
+        Whether the answer announced that the worker is leaving.
     """
 
     request_id: str
@@ -96,32 +108,40 @@
 
 @dataclass(slots=True)
 class WorkerSettings:
-    """How a worker behaves.
+    """Behaviour of a worker; all but ``slots`` may be changed while it runs.
 
     Parameters
     ----------
-    slots, queue : int
+    slots : int
+        Maximum number of requests that run at once.
+    queue : int
+        Maximum number of requests that wait for a slot; more are rejected.
     work_s : float
+        Duration of the work for each request, in seconds, at normal speed.
     slowness_percent : int
-        100 is as usual.
+        Duration of work relative to normal speed; 100 is normal.
     reports_load : bool
+        Whether answers contain ``Instance-Load``.
     hangs_when_saturated : bool
-        Whether it never answers what it can't queue.
+        Whether a request for which there is no room is left without an answer.
     healthy : bool
+        Whether probes are answered 200 rather than 503.
+    faults : list of WorkerFault
+        Faults of the next answers, in order.
     work_s_for : callable, optional
-        Given a path, returns the work in seconds; ``work_s`` for all if left out.
+        Given a path, returns the duration of the work in seconds; replaces ``work_s``.
     choose_fault : callable, optional
-        Returns what is wrong with the next answer once ``faults`` is used up.
+        Returns the fault of the next answer when ``faults`` is empty.
     crashes_on : callable, optional
-        Given a path, returns whether a request for it ends the worker that runs it.
+        Given a path, returns whether a request for it crashes the worker.
     rejects_next : callable, optional
-        Returns whether the next request is turned away though there is room for it.
+        Returns whether to reject the next request although there is room for it.
     leaving : bool, default False
-        Whether it says in all its answers that it leaves.
+        Whether all answers announce that the worker is leaving.
     rejects_probes : bool, default False
-        Whether it turns probes away as it does requests, without its id.
+        Whether probes are rejected as requests are, without ``Instance-Id``.
     retry_after : str, default ""
-        Rest that it asks for as it turns a request away, as in ``Retry-After``.
+        Back-off that a rejection requests: the value of ``Retry-After``; none if empty.
     """
 
     slots: int = 3
@@ -142,25 +162,33 @@
 
 
 class WorkerStandin:
-    """Serve the worker's protocol on loopback.
+    """Serve the worker's protocol on a loopback address.
 
     Attributes
     ----------
-    runs : list of WorkerRun
-        Requests that it began to work on, in order.
     instance : str
-        Its id.
+        Id of the instance.
+    runs : list of WorkerRun
+        Requests that the worker has started to run, in order.
     arrivals : list of Arrival
-        All requests that reached it, in order.
+        All requests received, in order.
+    probes : int
+        Number of probes received.
+    cancelled : int
+        Number of runs cancelled because the connection closed.
+    address : str
+        As ``host:port``; empty until the worker is started.
     resume : asyncio.Event or None
-        If set, work goes on until it is set.
+        If not None, runs wait for this event before they work.
+    run_started : asyncio.Event
+        Set when the first run has received its body.
     crashed : asyncio.Event
-        Set once a request has ended it.
+        Set when a request has crashed the worker.
     """
 
     def __init__(self, settings: WorkerSettings | None = None) -> None:
         self.settings = settings or WorkerSettings()
-        self.instance = f"i-{next(_numbers):08x}"
+        self.instance = f"i-{next(_instance_numbers):08x}"
         self.runs: list[WorkerRun] = []
         self.arrivals: list[Arrival] = []
         self.probes = 0
@@ -176,35 +204,35 @@
         self._late: dict[int, bytes] = {}
 
     async def start(self, address: str = "127.0.0.1:0") -> str:
-        """Begin to listen; return the address."""
+        """Start to listen; return the address."""
         self._server = StreamServer(self._serve)
         self.address = await self._server.listen(address)
         return self.address
 
     async def close(self) -> None:
-        """Stop at once."""
+        """Close the server and its connections at once."""
         if self._server is not None:
             await self._server.close()
 
     @property
     def busy(self) -> bool:
-        """Whether it works on a request, or one waits."""
+        """Whether a request is running or waits for a slot."""
         return self._running + self._waiting > 0
 
-    async def _end(self) -> None:
-        """End as a process does: nobody listens, and all connections are closed."""
+    async def _crash(self) -> None:
+        """Stop listening and close all connections, as when a process crashes."""
         self.crashed.set()
         await self.close()
 
     async def restart(self) -> str:
-        """Come back at the same address after an end; return the new id."""
+        """Start again at the same address after a crash; return the new instance id."""
         self.crashed.clear()
         await self.start(self.address)
         return self.replace_instance()
 
     def replace_instance(self) -> str:
-        """Have another worker take over the address; return its id."""
-        self.instance = f"i-{next(_numbers):08x}"
+        """Continue at the same address as a new instance; return its id."""
+        self.instance = f"i-{next(_instance_numbers):08x}"
         return self.instance
 
     def row(
@@ -216,7 +244,15 @@
         sequence: int = 1,
         address: str = "",
     ) -> dict[str, Any]:
-        """Return the row in which it records itself; it may be reached at another address."""
+        """Return the row with which the worker registers itself in the store.
+
+        Parameters
+        ----------
+        service, zone, state : str
+        sequence : int
+        address : str
+            Address to register, such as that of a link to the worker; its own if empty.
+        """
         return {
             "address": address or self.address,
             "info": {
@@ -232,14 +268,18 @@
         if exchange.header("attempt-id") is None and exchange.path == "/health":
             self.probes += 1
             if self.settings.rejects_probes:
-                exchange.reply(503, [Header("Not-Executed", "1"), *self._rest()], b"")
+                exchange.reply(
+                    503, [Header("Not-Executed", "1"), *self._retry_after_headers()], b""
+                )
                 return
             status = 200 if self.settings.healthy else 503
-            exchange.reply(status, [Header("Instance-Id", self.instance), *self._state()], b"")
+            exchange.reply(
+                status, [Header("Instance-Id", self.instance), *self._state_headers()], b""
+            )
             return
         request_id = exchange.header("attempt-id") or ""
-        given_ms = int(exchange.header("deadline-ms") or 0)
-        arrival = Arrival(request_id, exchange.arrived, time_limit=given_ms / 1000)
+        deadline_ms = int(exchange.header("deadline-ms") or 0)
+        arrival = Arrival(request_id, exchange.arrived, time_limit=deadline_ms / 1000)
         self.arrivals.append(arrival)
         expected = exchange.header("expect-instance")
         if expected is not None and expected != self.instance:
@@ -247,11 +287,11 @@
             return
         if self._running + self._waiting >= self.settings.slots + self.settings.queue:
             if self.settings.hangs_when_saturated:
-                await asyncio.sleep(_FOREVER_S)
-            self._turn_away(exchange, arrival)
+                await asyncio.sleep(_NO_ANSWER_DELAY_S)
+            self._reject(exchange, arrival)
             return
         if self.settings.rejects_next is not None and self.settings.rejects_next():
-            self._turn_away(exchange, arrival)
+            self._reject(exchange, arrival)
             return
         self._waiting += 1
         try:
@@ -264,7 +304,7 @@
             exchange.method,
             exchange.path,
             b"",
-            given_ms,
+            deadline_ms,
             exchange.arrived,
         )
         try:
@@ -277,19 +317,23 @@
             self._running -= 1
             self._slots.release()
 
-    def _turn_away(self, exchange: Exchange, arrival: Arrival) -> None:
-        headers = [Header("Not-Executed", "1"), _id(arrival.request_id), *self._state()]
-        exchange.reply(503, headers + self._rest(), b"")
-        self._note_answer(arrival)
+    def _reject(self, exchange: Exchange, arrival: Arrival) -> None:
+        headers = [
+            Header("Not-Executed", "1"),
+            _attempt_id_header(arrival.request_id),
+            *self._state_headers(),
+        ]
+        exchange.reply(503, headers + self._retry_after_headers(), b"")
+        self._record_answer(arrival)
         arrival.rejected = True
-        with contextlib.suppress(ValueError):  # Some ask for what is no time.
+        with contextlib.suppress(ValueError):  # The value may be invalid on purpose.
             arrival.backoff = max(0.0, float(self.settings.retry_after))
 
-    def _note_answer(self, arrival: Arrival) -> None:
+    def _record_answer(self, arrival: Arrival) -> None:
         arrival.answered_at = asyncio.get_running_loop().time()
         arrival.announced_leaving = self.settings.leaving
 
-    def _rest(self) -> list[Header]:
+    def _retry_after_headers(self) -> list[Header]:
         return (
             [Header("Retry-After", self.settings.retry_after)] if self.settings.retry_after else []
         )
@@ -297,14 +341,14 @@
     async def _run(self, exchange: Exchange, run: WorkerRun, arrival: Arrival) -> None:
         fault = self._next_fault()
         if fault is WorkerFault.EARLY:
-            self._turn_away(exchange, arrival)
+            self._reject(exchange, arrival)
             return
-        run.body = b"".join([part async for part in exchange.body()])
+        run.body = b"".join([chunk async for chunk in exchange.body()])
         self.runs.append(run)
         self.run_started.set()
         crashes_on = self.settings.crashes_on
         if crashes_on is not None and crashes_on(run.path):
-            await self._end()
+            await self._crash()
             return
         if self.resume is not None:
             await self.resume.wait()
@@ -315,74 +359,77 @@
         run.finished = True
         await self._answer(exchange, run, fault)
         if fault is WorkerFault.NONE:
-            self._note_answer(arrival)
+            self._record_answer(arrival)
 
     def _next_fault(self) -> WorkerFault:
         if self.settings.faults:
             return self.settings.faults.pop(0)
-        draw = self.settings.choose_fault
-        return WorkerFault.NONE if draw is None else draw()
+        choose_fault = self.settings.choose_fault
+        return WorkerFault.NONE if choose_fault is None else choose_fault()
 
     async def _answer(self, exchange: Exchange, run: WorkerRun, fault: WorkerFault) -> None:
         body = f"{self.instance} ran {run.request_id}".encode()
-        headers = [_id(run.request_id), Header("Response-Seal", f"seal-{run.request_id}")]
-        headers += self._state()
-        simple: dict[WorkerFault, Callable[[], None]] = {
+        headers = [
+            _attempt_id_header(run.request_id),
+            Header("Response-Seal", f"seal-{run.request_id}"),
+        ]
+        headers += self._state_headers()
+        senders: dict[WorkerFault, Callable[[], None]] = {
             WorkerFault.NONE: lambda: exchange.reply(200, headers, body),
             WorkerFault.LOST: exchange.abort,
             WorkerFault.ERROR: lambda: exchange.reply(500, headers, b"failed"),
             WorkerFault.BARE_503: lambda: exchange.reply(503, headers, b""),
             WorkerFault.UNSEALED: lambda: exchange.reply(200, [headers[0], *headers[2:]], body),
         }
-        if fault in simple:
-            simple[fault]()
+        if fault in senders:
+            senders[fault]()
             return
         if fault is WorkerFault.MUTE:
-            await asyncio.sleep(_FOREVER_S)
-        await self._answer_badly(exchange, headers, body, fault)
+            await asyncio.sleep(_NO_ANSWER_DELAY_S)
+        await self._send_faulty_answer(exchange, headers, body, fault)
 
-    async def _answer_badly(
+    async def _send_faulty_answer(
         self, exchange: Exchange, headers: list[Header], body: bytes, fault: WorkerFault
     ) -> None:
-        whole = _answer_bytes(headers, body)
+        answer = _format_answer(headers, body)
         if fault is WorkerFault.SURPLUS:
-            exchange.write_raw(whole + whole)
+            exchange.write_raw(answer + answer)
             exchange.mark_finished()
         elif fault is WorkerFault.LATE_SURPLUS:
-            exchange.write_raw(whole)
+            exchange.write_raw(answer)
             exchange.mark_finished()
-            asyncio.get_running_loop().call_later(0.01, exchange.write_raw, whole)
+            asyncio.get_running_loop().call_later(0.01, exchange.write_raw, answer)
         elif fault is WorkerFault.CUT:
-            exchange.write_raw(whole[:-3])
+            exchange.write_raw(answer[:-3])
         elif fault is WorkerFault.NOISE:
             exchange.write_raw(b"\x00\xff no answer at all\r\n\r\n")
         else:
-            head = whole.partition(b"Content-Length")[0]
-            rest = body if fault is WorkerFault.UNFRAMED else body[:-3]
-            exchange.write_raw(head + b"Connection: close\r\n\r\n" + rest)
+            head = answer.partition(b"Content-Length")[0]
+            sent_body = body if fault is WorkerFault.UNFRAMED else body[:-3]
+            exchange.write_raw(head + b"Connection: close\r\n\r\n" + sent_body)
             if fault is WorkerFault.UNFRAMED_RESET:
                 await asyncio.sleep(0.01)
                 exchange.abort()
 
-    def _state(self) -> list[Header]:
-        """Return what it says of itself with each answer."""
+    def _state_headers(self) -> list[Header]:
+        """Return the headers that report the state of the worker."""
         headers = [Header("Server-Leaving", "1")] if self.settings.leaving else []
         if self.settings.reports_load:
-            figures = (
+            load = (
                 self._running,
                 self._waiting,
                 self.settings.slots,
                 self.settings.slowness_percent,
             )
-            headers.append(Header("Instance-Load", ",".join(map(str, figures))))
+            headers.append(Header("Instance-Load", ",".join(map(str, load))))
         return headers
 
 
-def _id(request_id: str) -> Header:
+def _attempt_id_header(request_id: str) -> Header:
     return Header("Attempt-Id", request_id)
 
 
-def _answer_bytes(headers: list[Header], body: bytes) -> bytes:
+def _format_answer(headers: list[Header], body: bytes) -> bytes:
     lines = ["HTTP/1.1 200 OK", *(f"{h.name}: {h.value}" for h in headers)]
     lines.append(f"Content-Length: {len(body)}")
     return ("\r\n".join(lines) + "\r\n\r\n").encode() + body
