--- a/demo/users.py
+++ b/demo/users.py
@@ -13,7 +13,7 @@
 from collections import Counter
 from typing import TYPE_CHECKING, Any
 
-from dunlinnotch.standins.users.box import BoxProcess, until
+from dunlinnotch.standins.users.box import BoxProcess, wait_until
 from dunlinnotch.standins.users.operator import RoutePlan, operator_document
 from dunlinnotch.standins.users.store import StoreStandin
 from dunlinnotch.standins.users.worker import WorkerSettings, WorkerStandin
@@ -84,7 +84,7 @@
     async def call(self, box: BoxProcess, path: str, *, method: str = "GET") -> tuple[int, bytes]:
         """Send one request to a box; return status and body."""
         self._count += 1
-        host, _, port = box.caller.rpartition(":")
+        host, _, port = box.caller_address.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         try:
             body = b"x" if method == "POST" else b""
@@ -135,7 +135,7 @@
         await calls("as usual", first)
         fleet.store.put("op", "config", document(2, "ingest"))
         for box in fleet.boxes:
-            await until(lambda box=box: '"version":2' in box.events(), "version 2")  # type: ignore[misc]
+            await wait_until(lambda box=box: '"version":2' in box.read_log(), "version 2")  # type: ignore[misc]
         moved = await calls("route moved to ingest", second)
         lost += set(moved) != {"worker-3"}
         fleet.store.put("op", "config", document(3, "holdings"))
@@ -143,12 +143,12 @@
         row = leaving.row("holdings", zone="hall-a", state="draining", sequence=2)
         fleet.store.put("servers", leaving.instance, row)
         for box in fleet.boxes:
-            await until(lambda box=box: "target-leaving" in box.events(), "target leaves")  # type: ignore[misc]
+            await wait_until(lambda box=box: "target-leaving" in box.read_log(), "target leaves")  # type: ignore[misc]
         lost += "worker-1" in await calls("moved back, worker-1 leaving", first)
         first.send_signal(signal.SIGTERM)
         await first.wait_ready(status=503)
         await calls("front-1 is asked to stop", second)
-        status = await first.ended()
+        status = await first.wait_exit()
         print(f"   front-1 ended with status {status}")
         lost += status != 0
     return lost
--- a/dunlinnotch/lab/checker/answers.py
+++ b/dunlinnotch/lab/checker/answers.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from dunlinnotch.lab.checker.common import Guarantee, Violation
-from dunlinnotch.standins.users.caller import PROMISES, AttemptOutcome
+from dunlinnotch.standins.users.caller import NOT_RUN_STATUSES, AttemptOutcome
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -30,8 +30,10 @@
     """Check that a successful answer is complete and belongs to its request."""
     if attempt.outcome is not AttemptOutcome.ANSWERED:
         return
-    if attempt.named and attempt.named != attempt.id:
-        yield Violation(Guarantee.COMPLETE, attempt.id, f"received the answer to {attempt.named}")
+    if attempt.answered_id and attempt.answered_id != attempt.id:
+        yield Violation(
+            Guarantee.COMPLETE, attempt.id, f"received the answer to {attempt.answered_id}"
+        )
     if not attempt.succeeded:
         return
     bodies = {f"{t.worker.instance} ran {attempt.id}" for t, _ in index.runs_by_id[attempt.id]}
@@ -41,7 +43,7 @@
 
 def _check_not_run(index: ObservationIndex, attempt: AttemptRecord) -> Iterator[Violation]:
     """Check that a request was not run if its answer says so."""
-    refused = attempt.outcome is AttemptOutcome.ANSWERED and attempt.status in PROMISES
+    refused = attempt.outcome is AttemptOutcome.ANSWERED and attempt.status in NOT_RUN_STATUSES
     if (
         refused
         and not index.kinds_by_name[attempt.kind].repeatable
@@ -55,11 +57,11 @@
 
 def _check_in_time(index: ObservationIndex, attempt: AttemptRecord) -> Iterator[Violation]:
     """Check that an attempt ends by its deadline."""
-    if index.has_unplanned_fault(attempt.sent - index.scenario.bounds.contact, attempt.ended):
+    if index.has_unplanned_fault(attempt.sent_at - index.scenario.bounds.contact, attempt.ended_at):
         return
     limit_s = index.kinds_by_name[attempt.kind].deadline_ms / 1000 + _HOLD_TOLERANCE_S
-    if attempt.ended - attempt.sent > limit_s:
-        held_s = attempt.ended - attempt.sent
+    if attempt.ended_at - attempt.sent_at > limit_s:
+        held_s = attempt.ended_at - attempt.sent_at
         yield Violation(Guarantee.IN_TIME, attempt.id, f"held {held_s:.2f} s at {attempt.box}")
 
 
@@ -69,6 +71,6 @@
     All requests of a scenario are valid and its targets send no such answers, so one can
     only come from a box.
     """
-    rejected = 300 <= attempt.status < 500 and attempt.status not in PROMISES
+    rejected = 300 <= attempt.status < 500 and attempt.status not in NOT_RUN_STATUSES
     if attempt.outcome is AttemptOutcome.ANSWERED and rejected:
         yield Violation(Guarantee.NOT_REJECTED, attempt.id, f"{attempt.status} from {attempt.box}")
--- a/dunlinnotch/lab/checker/settings.py
+++ b/dunlinnotch/lab/checker/settings.py
@@ -12,7 +12,7 @@
 
     from dunlinnotch.lab.checker.common import ObservationIndex
     from dunlinnotch.lab.fleet import Target
-    from dunlinnotch.standins.users.worker import Ran
+    from dunlinnotch.standins.users.worker import WorkerRun
     from dunlinnotch.types import Seconds
 
 
@@ -21,7 +21,7 @@
     for kind, route_changes in index.observations.route_changes.items():
         prefix = path_prefix(index.kinds_by_name[kind])
         for target in index.observations.targets:
-            for run in target.worker.ran:
+            for run in target.worker.runs:
                 if run.path.startswith(prefix):
                     yield from _check_run(index, kind, route_changes, target, run)
 
@@ -31,7 +31,7 @@
     kind: str,
     route_changes: list[tuple[Seconds, str]],
     target: Target,
-    run: Ran,
+    run: WorkerRun,
 ) -> Iterator[Violation]:
     """Check that a request ran at a service of settings written and not yet replaced.
 
@@ -41,16 +41,16 @@
     attempt = index.attempts_by_id.get(run.request_id)
     if attempt is None:
         return
-    allowed = {service for at, service in route_changes if at <= run.arrived}
+    allowed = {service for at, service in route_changes if at <= run.arrived_at}
     for (_, old_service), (changed_at, _) in zip(route_changes, route_changes[1:], strict=False):
         limit = changed_at + index.scenario.bounds.apply + TIMER_TOLERANCE_S
         newer_services = [
-            service for at, service in route_changes if changed_at <= at <= run.arrived
+            service for at, service in route_changes if changed_at <= at <= run.arrived_at
         ]
         excused = index.has_unplanned_fault(
-            changed_at - index.scenario.bounds.contact, attempt.sent
+            changed_at - index.scenario.bounds.contact, attempt.sent_at
         )
-        if attempt.sent > limit and old_service not in newer_services and not excused:
+        if attempt.sent_at > limit and old_service not in newer_services and not excused:
             allowed.discard(old_service)
     if target.service not in allowed:
         detail = f"{kind} {run.request_id} ran at service {target.service}"
--- a/dunlinnotch/lab/checker/work.py
+++ b/dunlinnotch/lab/checker/work.py
@@ -82,8 +82,8 @@
         if target.leaving_at is None:
             continue
         limit = target.leaving_at + bounds.drain + TIMER_TOLERANCE_S
-        for run in target.worker.ran:
-            delay_s = run.arrived - limit
+        for run in target.worker.runs:
+            delay_s = run.arrived_at - limit
             if delay_s > 0 and not index.has_unplanned_fault(
                 target.leaving_at - bounds.contact, limit
             ):
@@ -96,9 +96,9 @@
     contact = index.scenario.bounds.contact
     ids = {attempt.id for attempt in index.observations.crashing}
     crashes = sorted(
-        (run.arrived, target.worker.instance)
+        (run.arrived_at, target.worker.instance)
         for target in index.observations.targets
-        for run in target.worker.ran
+        for run in target.worker.runs
         if run.request_id in ids
     )
     if len(crashes) <= _MAX_CRASHES:
@@ -132,15 +132,15 @@
     for request_id, arrivals in arrivals_by_id.items():
         attempt = index.attempts_by_id.get(request_id)
         if attempt is None or index.has_unplanned_fault(
-            attempt.sent - index.scenario.bounds.contact, attempt.until
+            attempt.sent_at - index.scenario.bounds.contact, attempt.deadline
         ):
             continue
-        first = min(arrivals, key=lambda arrival: arrival.at)
+        first = min(arrivals, key=lambda arrival: arrival.arrived_at)
         for arrival in arrivals:
-            excess_s = arrival.given - (attempt.until - attempt.sent)
-            if arrival.at > first.at + _RETRY_GAP_S:
-                end = max(first.at + first.given, attempt.until)
-                excess_s = max(excess_s, arrival.at + arrival.given - end)
+            excess_s = arrival.time_limit - (attempt.deadline - attempt.sent_at)
+            if arrival.arrived_at > first.arrived_at + _RETRY_GAP_S:
+                end = max(first.arrived_at + first.time_limit, attempt.deadline)
+                excess_s = max(excess_s, arrival.arrived_at + arrival.time_limit - end)
             if excess_s > _TIME_TOLERANCE_S:
                 detail = f"a target was given {excess_s:.2f} s more than its caller has left"
                 yield Violation(Guarantee.TIME_LIMIT, request_id, detail)
@@ -150,17 +150,17 @@
     """Check that a caller's disconnection soon ends its request at boxes and targets."""
     late_runs = long_runs = working_runs = 0
     for attempt in index.observations.abandoned:
-        limit = attempt.ended + _DISCONNECT_GRACE_S
+        limit = attempt.ended_at + _DISCONNECT_GRACE_S
         caller_left = attempt.outcome is AttemptOutcome.LEFT
         if not caller_left or index.has_unplanned_fault(
-            attempt.sent - index.scenario.bounds.contact, limit
+            attempt.sent_at - index.scenario.bounds.contact, limit
         ):
             continue
         for _, run in index.runs_by_id[attempt.id]:
-            late_runs += run.arrived > limit
-            is_long = run.arrived <= limit < run.arrived + LONG_WORK_S
+            late_runs += run.arrived_at > limit
+            is_long = run.arrived_at <= limit < run.arrived_at + LONG_WORK_S
             long_runs += is_long
-            working_runs += is_long and not 0 < run.ended <= limit
+            working_runs += is_long and not 0 < run.ended_at <= limit
     if late_runs > _MAX_LATE_RUNS:
         yield Violation(
             Guarantee.CALLER_GONE,
@@ -177,15 +177,15 @@
 ) -> Iterator[Violation]:
     """Check that a box sends nothing to a target during the back-off requested from it."""
     for refusal in arrivals:
-        if not refusal.rest:
+        if not refusal.backoff:
             continue
-        end = refusal.answered_at + refusal.rest
+        end = refusal.answered_at + refusal.backoff
         start = refusal.answered_at + _IN_FLIGHT_S
-        received = sum(start < arrival.at < end for arrival in arrivals)
+        received = sum(start < arrival.arrived_at < end for arrival in arrivals)
         if received > _MAX_DURING_BACKOFF and not index.has_fault(
             BOX_OR_LINK_FAULTS, refusal.answered_at, end
         ):
-            detail = f"received {received} requests from {box} in {refusal.rest:g} s of back-off"
+            detail = f"received {received} requests from {box} in {refusal.backoff:g} s of back-off"
             yield Violation(Guarantee.BACKOFF, target.worker.instance, detail)
 
 
@@ -194,14 +194,16 @@
 ) -> Iterator[Violation]:
     """Check that a box sends nothing to a target that announced in an answer that it leaves."""
     announced_at: Seconds | None = min(
-        (a.answered_at for a in arrivals if a.said_leaving), default=None
+        (a.answered_at for a in arrivals if a.announced_leaving), default=None
     )
     if announced_at is None:
         return
     limit = announced_at + index.scenario.bounds.drain + TIMER_TOLERANCE_S
     for arrival in arrivals:
-        sent = index.attempts_by_id[arrival.request_id].sent
-        if sent > limit and not index.has_fault(BOX_OR_LINK_FAULTS, announced_at, arrival.at):
+        sent = index.attempts_by_id[arrival.request_id].sent_at
+        if sent > limit and not index.has_fault(
+            BOX_OR_LINK_FAULTS, announced_at, arrival.arrived_at
+        ):
             detail = (
                 f"{arrival.request_id} came from {box} {sent - announced_at:.2f} s after the "
                 "target announced that it leaves"
--- a/dunlinnotch/lab/faults.py
+++ b/dunlinnotch/lab/faults.py
@@ -128,10 +128,10 @@
     async def _slow_targets(self, plan: FaultPlan) -> None:
         targets = self._sample_targets(plan)
         for target in targets:
-            target.worker.settings.slowness = int(_NORMAL_SLOWNESS_PERCENT * plan.x)
+            target.worker.settings.slowness_percent = int(_NORMAL_SLOWNESS_PERCENT * plan.x)
         await asyncio.sleep(plan.for_s)
         for target in targets:
-            target.worker.settings.slowness = _NORMAL_SLOWNESS_PERCENT
+            target.worker.settings.slowness_percent = _NORMAL_SLOWNESS_PERCENT
 
     async def _crash_targets(self, plan: FaultPlan) -> None:
         targets = self._sample_targets(plan)
@@ -167,23 +167,23 @@
 
         targets = self._sample_targets(plan)
         for target in targets:
-            target.worker.settings.draw_fault = choose_fault
+            target.worker.settings.choose_fault = choose_fault
         await asyncio.sleep(plan.for_s)
         for target in targets:
-            target.worker.settings.draw_fault = None
+            target.worker.settings.choose_fault = None
 
     async def _refuse_requests(self, plan: FaultPlan) -> None:
         targets = self._sample_targets(plan)
         request_backoff = plan.kind is FaultKind.TARGET_RESTS
         for target in targets:
-            target.worker.settings.turns_away = lambda: self._rng.random() < plan.x
-            target.worker.settings.rest = (
+            target.worker.settings.rejects_next = lambda: self._rng.random() < plan.x
+            target.worker.settings.retry_after = (
                 self._rng.choice(_BACKOFF_VALUES) if request_backoff else ""
             )
         await asyncio.sleep(plan.for_s)
         for target in targets:
-            target.worker.settings.turns_away = None
-            target.worker.settings.rest = ""
+            target.worker.settings.rejects_next = None
+            target.worker.settings.retry_after = ""
 
     async def _fail_health_checks(self, plan: FaultPlan) -> None:
         targets = self._sample_targets(plan)
@@ -242,7 +242,7 @@
             directories=self._fleet.directories,
             next_id=lambda: f"{plan.kind[0]}{len(attempts):03x}{self._rng.getrandbits(32):08x}",
             rng=self._rng,
-            keeps=False,
+            keep_alive=False,
         )
         until = self._loop.time() + plan.for_s
         while self._loop.time() < until:
@@ -251,10 +251,10 @@
                 method="GET",
                 path=path_prefix(kind) + path.format(self._rng.randrange(40)),
                 body=b"",
-                repeatable=True,
-                deadline=kind.deadline_ms / 1000,
+                idempotent=True,
+                timeout=kind.deadline_ms / 1000,
                 retries=0,
-                leaves_after=leaves_after,
+                disconnect_after=leaves_after,
             )
             attempts += await caller.request(0, request)
             await asyncio.sleep(1 / plan.x)
@@ -285,7 +285,7 @@
             self.stops.append(box_stop)
             await box.wait_not_ready()
             box_stop.not_ready_at = self._loop.time()
-            await box.ended()
+            await box.wait_exit()
             box.start()
             await box.wait_ready()
 
@@ -304,9 +304,9 @@
         self._fleet.store.faults.fault = StoreFault.NONE
 
     async def _slow_store(self, plan: FaultPlan) -> None:
-        self._fleet.store.faults.slow_s = plan.x
+        self._fleet.store.faults.answer_delay_s = plan.x
         await asyncio.sleep(plan.for_s)
-        self._fleet.store.faults.slow_s = 0.0
+        self._fleet.store.faults.answer_delay_s = 0.0
 
     async def _break_store_links(self, plan: FaultPlan) -> None:
         silent = plan.kind is FaultKind.STORE_SILENT
@@ -318,7 +318,7 @@
             link.set_state(LinkState.PASS)
 
     async def _drop_store_history(self, plan: FaultPlan) -> None:
-        self._fleet.store.forget_history()
+        self._fleet.store.drop_history()
         await asyncio.sleep(plan.for_s)
 
     async def _restore_store(self, plan: FaultPlan) -> None:
@@ -326,7 +326,7 @@
         backup_time = store.now - plan.x
         store.faults.fault = StoreFault.RESET
         await asyncio.sleep(self._rng.uniform(0.0, _MAX_RESTORE_OUTAGE_S))
-        store.come_back_from_copy(backup_time)
+        store.restore_backup(backup_time)
         store.faults.fault = StoreFault.NONE
         await asyncio.sleep(self._rng.uniform(0.0, _MAX_REWRITE_DELAY_S))
         self._fleet.rewrite_lost_rows()
--- a/dunlinnotch/lab/fleet.py
+++ b/dunlinnotch/lab/fleet.py
@@ -155,8 +155,8 @@
 
     def directories(self, place: str) -> list[Address]:
         """Return the addresses of the boxes' directory service, those in ``place`` first."""
-        same_place = [box.directory for box in self.boxes if box.zone == place]
-        other_places = [box.directory for box in self.boxes if box.zone != place]
+        same_place = [box.directory_address for box in self.boxes if box.zone == place]
+        other_places = [box.directory_address for box in self.boxes if box.zone != place]
         self.rng.shuffle(same_place)
         self.rng.shuffle(other_places)
         return same_place + other_places
@@ -168,9 +168,9 @@
         settings = WorkerSettings(
             slots=service.slots,
             queue=service.queue,
-            hangs_when_full=service.hangs,
-            work_of=self._work_time,
-            ends_under=crashes_target,
+            hangs_when_saturated=service.hangs,
+            work_s_for=self._work_time,
+            crashes_on=crashes_target,
         )
         worker = WorkerStandin(settings)
         await worker.start()
@@ -183,7 +183,7 @@
 
     async def _replace_crashed(self, target: Target, service: ServicePlan) -> None:
         """Replace a target once it has crashed while running a request."""
-        await target.worker.ended.wait()
+        await target.worker.crashed.wait()
         if target.terminating:
             return
         target.terminating = True
--- a/dunlinnotch/lab/report.py
+++ b/dunlinnotch/lab/report.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from dunlinnotch.errors import ConfigError
-from dunlinnotch.standins.users.caller import PROMISES, AttemptOutcome
+from dunlinnotch.standins.users.caller import NOT_RUN_STATUSES, AttemptOutcome
 
 if TYPE_CHECKING:
     from collections.abc import Sequence
@@ -134,7 +134,7 @@
     """
     requests: dict[int, list[AttemptRecord]] = {}
     for attempt in observations.attempts:
-        requests.setdefault(attempt.request, []).append(attempt)
+        requests.setdefault(attempt.request_number, []).append(attempt)
     result = ScenarioResult(
         name=observations.scenario.name,
         seed=observations.scenario.seed,
@@ -166,8 +166,11 @@
             result.in_time += latency_ms <= target_latency_ms
             result.late += latency_ms > target_latency_ms
             continue
-        held_ms.append(sum(attempt.ended - attempt.sent for attempt in attempts) * 1000)
-        if last_attempt.outcome is AttemptOutcome.ANSWERED and last_attempt.status in PROMISES:
+        held_ms.append(sum(attempt.ended_at - attempt.sent_at for attempt in attempts) * 1000)
+        if (
+            last_attempt.outcome is AttemptOutcome.ANSWERED
+            and last_attempt.status in NOT_RUN_STATUSES
+        ):
             result.refused += 1
         else:
             result.failed += 1
@@ -178,7 +181,7 @@
 
 
 def _latency_ms(attempts: list[AttemptRecord]) -> float:
-    return (attempts[-1].ended - attempts[0].sent) * 1000
+    return (attempts[-1].ended_at - attempts[0].sent_at) * 1000
 
 
 def _quantile(values: list[float], fraction: float) -> float:
@@ -195,7 +198,7 @@
     latencies_ms: list[list[float]] = [[] for _ in range(bucket_count)]
     request_counts = [0] * bucket_count
     for attempts in requests:
-        bucket = int((attempts[0].sent - observations.started_at) / _BUCKET_S)
+        bucket = int((attempts[0].sent_at - observations.started_at) / _BUCKET_S)
         if 0 <= bucket < bucket_count:
             request_counts[bucket] += 1
             if attempts[-1].succeeded:
--- a/dunlinnotch/lab/run.py
+++ b/dunlinnotch/lab/run.py
@@ -96,8 +96,8 @@
             method="GET" if kind.repeatable else "POST",
             path=f"{path_prefix(kind)}{number}",
             body=b"" if kind.repeatable else _REQUEST_BODY,
-            repeatable=kind.repeatable,
-            deadline=kind.deadline_ms / 1000,
+            idempotent=kind.repeatable,
+            timeout=kind.deadline_ms / 1000,
             retries=kind.retries,
         )
         self.request_count += 1
@@ -111,7 +111,7 @@
             directories=self._fleet.directories,
             next_id=lambda: f"a{next(self._attempt_ids):07x}",
             rng=self._rng,
-            keeps=self._rng.random() < _KEEP_ALIVE_SHARE,
+            keep_alive=self._rng.random() < _KEEP_ALIVE_SHARE,
         )
 
 
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -52,7 +52,7 @@
     def transact(self, transaction: Transaction) -> TransactResult:
         self._up()
         result = self.store.transact(transaction)
-        if self.store.lose_this_answer():
+        if self.store.consume_lost_answer():
             raise PlatformUnavailableError("answer lost")
         return result
 
@@ -66,7 +66,7 @@
 
     def list_boxes(self) -> list[ListedBox]:
         self._up()
-        return list(self.store.shown_boxes)
+        return list(self.store.listed_boxes)
 
 
 @dataclass(frozen=True)
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -40,7 +40,7 @@
             assert answer.headers["attempt-id"] == "one"
             assert answer.body == f"{world.workers[0].instance} ran one".encode()
             assert "instance-load" not in answer.headers
-            ran = world.workers[0].ran[0]
+            ran = world.workers[0].runs[0]
             assert (ran.method, ran.path) == ("GET", "/read/a?b=c")
             assert 0 < ran.deadline_ms <= 5000
 
@@ -59,7 +59,7 @@
             writer.write(b"5\r\nhello\r\n6\r\n world\r\n0\r\n\r\n")
             assert (await read_answer(reader)).status == 200
             writer.close()
-            assert [ran.body for ran in world.workers[0].ran] == [body, b"hello world"]
+            assert [ran.body for ran in world.workers[0].runs] == [body, b"hello world"]
 
     run(test)
 
@@ -121,7 +121,7 @@
             box = world.boxes[0]
             await until(lambda: box.instances.for_service("loans"))
             # The worker crashes during the request, so the retry can't connect.
-            worker.settings.ends_under = lambda path: True
+            worker.settings.crashes_on = lambda path: True
             assert (await call(box, "/read/", "ran")).status == 502
             assert world.ran == ["ran"]
 
@@ -136,10 +136,10 @@
             await until(lambda: box.instances.for_service("loans"))
             assert (await call(box, "/lend/", "lost", method="POST", body=b"x")).status == 502
             assert not logged_events(caplog, "target-ended")
-            first.settings.ends_under = lambda path: path.endswith("worst")
+            first.settings.crashes_on = lambda path: path.endswith("worst")
             answer = await call(box, "/lend/worst", "last", method="POST", body=b"x")
             assert answer.status == 502
-            assert first.ended.is_set()
+            assert first.crashed.is_set()
 
     with caplog.at_level("INFO"):
         run(test)
@@ -184,12 +184,12 @@
             box = world.boxes[0]
             await until(lambda: len(box.instances.for_service("loans")) == 2)
             saturated = world.workers[1]
-            saturated.hold = asyncio.Event()
+            saturated.resume = asyncio.Event()
             saturated.settings.queue = -1  # refuses all requests, whatever load it reports
             for number in range(8):
                 answer = await call(box, "/lend/", f"l{number}", method="POST", body=b"x")
                 assert answer.status == 200
-            assert saturated.ran == []
+            assert saturated.runs == []
             assert len(set(world.ran)) == len(world.ran) == 8
 
     run(test)
@@ -200,7 +200,7 @@
         async with stream_world() as world:
             box = world.boxes[0]
             assert (await call(box, "/lend/", "a", method="POST", body=b"x")).status == 200
-            world.workers[0].replace()
+            world.workers[0].replace_instance()
             answer = await call(box, "/lend/", "b", method="POST", body=b"x")
             assert answer.status == 503
             assert float(answer.headers["retry-after"]) > 0
@@ -213,12 +213,12 @@
     async def test():
         async with stream_world() as world:
             worker = world.workers[0]
-            worker.hold = asyncio.Event()
+            worker.resume = asyncio.Event()
             _, writer = await connect(world.boxes[0])
             writer.write(head("/read/", "gone"))
             await until(lambda: world.ran == ["gone"])
             writer.close()
-            await until(lambda: worker.dropped == 1)
+            await until(lambda: worker.cancelled == 1)
             assert world.boxes[0].forwarder.in_flight == 0
 
     run(test)
@@ -228,10 +228,10 @@
     async def test():
         async with stream_world() as world:
             worker = world.workers[0]
-            worker.hold = asyncio.Event()
+            worker.resume = asyncio.Event()
             answer = await call(world.boxes[0], "/read/", "late", deadline_ms=150)
             assert answer.status == 504
-            await until(lambda: worker.dropped == 1)
+            await until(lambda: worker.cancelled == 1)
 
     run(test)
 
@@ -239,10 +239,12 @@
 def test_request_is_refused_with_retry_after_when_all_targets_are_saturated():
     async def test():
         async with stream_world(workers=0) as world:
-            worker = await world.add_worker(WorkerSettings(slots=1, queue=1, hangs_when_full=True))
+            worker = await world.add_worker(
+                WorkerSettings(slots=1, queue=1, hangs_when_saturated=True)
+            )
             box = world.boxes[0]
             await until(lambda: box.instances.for_service("loans"))
-            worker.hold = asyncio.Event()
+            worker.resume = asyncio.Event()
             held = [asyncio.create_task(call(box, "/read/", "held"))]
             await until(lambda: len(worker.arrivals) == 1)
             # The queue of the target has room, but boxes do not let requests wait at targets.
@@ -250,7 +252,7 @@
             assert answer.status == 503
             assert float(answer.headers["retry-after"]) > 0
             assert len(worker.arrivals) == 1
-            worker.hold.set()
+            worker.resume.set()
             assert {a.status for a in await asyncio.gather(*held)} == {200}
 
     run(test)
@@ -285,7 +287,7 @@
                 assert (
                     await call(box, "/lend/", f"r{number}", method="POST", body=b"x")
                 ).status == 200
-            worker.settings.slowness = 4000
+            worker.settings.slowness_percent = 4000
             await asyncio.sleep(5 * MAX_FRESH_AGE_S)  # the last report is outdated then
             late = await call(box, "/lend/", "hopeless", method="POST", body=b"x", deadline_ms=900)
             assert late.status == 503
@@ -307,7 +309,7 @@
             await until(lambda: box.routes.table.version == 4)
             await until(lambda: box.instances.for_service("other"))
             assert (await call(box, "/read/", "moved")).status == 200
-            assert [r.request_id for r in other.ran] == ["moved"]
+            assert [r.request_id for r in other.runs] == ["moved"]
             world.store.put(
                 "servers", other.instance, other.row("other", zone="hall-a", state="draining")
             )
@@ -372,12 +374,12 @@
     async def test():
         async with stream_world() as world:
             box, worker = world.boxes[0], world.workers[0]
-            worker.hold = asyncio.Event()
+            worker.resume = asyncio.Event()
             held = asyncio.create_task(call(box, "/lend/", "held", method="POST", body=b"x"))
             await until(lambda: world.ran == ["held"])
             world.store.put("servers", worker.instance, b"bad")
             await until(lambda: not box.instances.for_service("loans"))
-            worker.hold.set()
+            worker.resume.set()
             assert (await held).status == 200
 
     run(test)
@@ -439,7 +441,7 @@
             box = world.boxes[0]
             world.store.put("op", "config", document(2))
             world.store.remove("servers", world.workers[0].instance)
-            world.store.forget_history()
+            world.store.drop_history()
             await until(lambda: box.routes.table.version == 2)
             await until(lambda: not box.instances.for_service("loans"))
 
@@ -451,7 +453,7 @@
         async with stream_world(boxes=2) as world:
             leaving, other = world.boxes
             worker = world.workers[0]
-            worker.hold = asyncio.Event()
+            worker.resume = asyncio.Event()
             held = asyncio.create_task(call(leaving, "/lend/", "held", method="POST", body=b"x"))
             await until(lambda: world.ran == ["held"])
             idle_reader, idle_writer = await connect(leaving)
@@ -463,7 +465,7 @@
             late = await read_answer(idle_reader)
             assert (late.status, late.headers["connection"]) == (503, "close")
             assert "retry-after" in late.headers
-            worker.hold.set()
+            worker.resume.set()
             answer = await held
             assert answer.status == 200
             await world.tasks[0]
@@ -482,7 +484,7 @@
     async def test():
         async with stream_world(boxes=0) as world:
             box = await world.add_box(grace=1.0)
-            world.workers[0].hold = asyncio.Event()
+            world.workers[0].resume = asyncio.Event()
             body = b"x" if method == "POST" else b""
             held = asyncio.create_task(call(box, path, "mute", method=method, body=body))
             await until(lambda: world.ran == ["mute"])
@@ -519,7 +521,7 @@
             answer = await call(box, path, "r1", method=method, body=body)
             assert answer.status in (200, 503)
             reached = {
-                worker.address: [run.request_id for run in worker.ran] for worker in world.workers
+                worker.address: [run.request_id for run in worker.runs] for worker in world.workers
             }
             assert reached[leaving_address[0]] == []
 
@@ -531,7 +533,7 @@
         async with stream_world(workers=0) as world:
             caplog.set_level("INFO")
             world.store.put("op", "config", document(2, **{"max-attempts": 1}))
-            await world.add_worker(WorkerSettings(turns_away=lambda: True, rest="2.5"))
+            await world.add_worker(WorkerSettings(rejects_next=lambda: True, retry_after="2.5"))
             await until(lambda: world.boxes[0].instances.for_service("loans"))
             await until(lambda: world.boxes[0].routes.table.version == 2)
             await call(world.boxes[0], "/read/a", "one")
--- a/tests/test_lab_checker.py
+++ b/tests/test_lab_checker.py
@@ -10,7 +10,7 @@
 from dunlinnotch.lab.fleet import Target
 from dunlinnotch.lab.scenario import Bounds, FaultKind, KindPlan, Scenario, ServicePlan
 from dunlinnotch.standins.users.caller import AttemptOutcome, AttemptRecord
-from dunlinnotch.standins.users.worker import Arrival, Ran
+from dunlinnotch.standins.users.worker import Arrival, WorkerRun
 
 SCENARIO = Scenario(
     boxes=2,
@@ -25,14 +25,14 @@
 
 
 def make_target(name="t1", service="records", *, leaving_at=None, probes=0):
-    worker = SimpleNamespace(instance=name, ran=[], arrivals=[], probes=probes)
+    worker = SimpleNamespace(instance=name, runs=[], arrivals=[], probes=probes)
     return Target(worker, None, service, "hall-a", leaving_at=leaving_at)
 
 
 def add_run(target, request_id, *, kind="lookup", arrived=10.0, path=None, method=None):
     method = method or ("GET" if kind == "lookup" else "POST")
-    run = Ran(request_id, method, path or f"/{kind}/1", b"", 1000, arrived=arrived)
-    target.worker.ran.append(run)
+    run = WorkerRun(request_id, method, path or f"/{kind}/1", b"", 1000, arrived_at=arrived)
+    target.worker.runs.append(run)
 
 
 def add_arrival(target, request_id, at=10.0, *, rest=0.0, leaving=False, given=0.0):
@@ -44,12 +44,12 @@
 def make_attempt(request_id="a1", *, kind="lookup", request=1, sent=10.0, took=0.1, **fields):
     method = "GET" if kind == "lookup" else "POST"
     record = AttemptRecord(request, request_id, kind, BOX, method, f"/{kind}/1", sent)
-    record.ended = sent + took
-    record.until = sent + 2.0
+    record.ended_at = sent + took
+    record.deadline = sent + 2.0
     record.outcome = AttemptOutcome.ANSWERED
     record.status = 200
     record.sealed = True
-    record.named = request_id
+    record.answered_id = request_id
     record.body = f"t1 ran {request_id}".encode()
     for name, value in fields.items():
         setattr(record, name, value)
@@ -109,7 +109,9 @@
 def test_the_answer_to_another_request_is_a_violation():
     target = make_target()
     add_run(target, "a1")
-    assert check([make_attempt("a1", named="a2", status=500)], [target]) == [Guarantee.COMPLETE]
+    assert check([make_attempt("a1", answered_id="a2", status=500)], [target]) == [
+        Guarantee.COMPLETE
+    ]
 
 
 @pytest.mark.parametrize("status", [408, 421, 429, 503])
@@ -370,7 +372,7 @@
     target = make_target()
     for number, end in enumerate(ends):
         add_run(target, f"c{number}")
-        target.worker.ran[-1].ended = end
+        target.worker.runs[-1].ended_at = end
     abandoned = [
         make_attempt(f"c{n}", took=0.3, outcome=AttemptOutcome.LEFT) for n in range(len(ends))
     ]
