--- a/tests/matrix.py
+++ b/tests/matrix.py
@@ -209,7 +209,7 @@
     if name is None:
         return
     core = world.boxes[name]
-    kept = world.ask()
+    kept = world.request_addresses()
     world.reach("drain", box=None)
     if name not in world.boxes:
         return
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -41,7 +41,7 @@
     def new_loan(self):
         request = Request(f"m{len(self.world.requests)}", "loan")
         self.world.requests.append(request)
-        listing = self.world.ask()
+        listing = self.world.request_addresses()
         entry = listing.addresses[0] if listing else None
         self.keys[request.mark] = entry
         return request
--- a/tests/world.py
+++ b/tests/world.py
@@ -422,7 +422,7 @@
 
     # Callers
 
-    def ask(self):
+    def request_addresses(self):
         """Return an address answer from any box that gives one, or the one kept."""
         for name in list(self.active()):
             try:
@@ -441,7 +441,7 @@
         """Send one request the way callers do, asking again while its end is unknown."""
         request = Request(f"m{len(self.requests)}", kind)
         self.requests.append(request)
-        found = self.ask()
+        found = self.request_addresses()
         for entry in found.addresses if found else ():
             key = f"{entry.once_stem}{request.mark}" if kind == "loan" else None
             self.send(request, entry.box, key)
