--- a/tests/matrix.py
+++ b/tests/matrix.py
@@ -161,7 +161,7 @@
     world = World()
     setup(world)
     for fault in cell.faults:
-        world.at(cell.step, FAULTS[fault], times=cell.times)
+        world.add_hook(cell.step, FAULTS[fault], times=cell.times)
     placed = len(world.hooks[cell.step])
     script(world)
     reached = len(world.hooks[cell.step]) < placed
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -73,7 +73,7 @@
             world.kill(box)
 
         if name in self.world.boxes:
-            self.world.at(step, kill)
+            self.world.add_hook(step, kill)
 
     @rule(seconds=st.sampled_from([0.5, 5.0, 700.0]))
     def advance_time(self, seconds):
--- a/tests/world.py
+++ b/tests/world.py
@@ -219,7 +219,7 @@
 
     # Faults and hooks
 
-    def at(self, step, action, *, times=1):
+    def add_hook(self, step, action, *, times=1):
         """Have ``action(world, box, target)`` done the next ``times`` times at a step."""
         self.hooks[step] += [action] * times
 
