--- a/tests/matrix.py
+++ b/tests/matrix.py
@@ -65,21 +65,21 @@
 
 
 def _cut_from_peers(world, box, _target):
-    world.cut.add(box or "box-0")
+    world.cut_from_peers.add(box or "box-0")
 
 
 def _deaf(world, box, _target):
     """The box is heard and hears nobody."""
-    world.deaf.add(box or "box-0")
+    world.not_receiving.add(box or "box-0")
 
 
 def _halves(world, box, _target):
     """The box, and whoever starts later, can't hear the rest, nor be heard by it."""
-    world.split.add(box or "box-0")
+    world.second_partition.add(box or "box-0")
 
 
 def _cut_off(world, box, _target):
-    world.cut.add(box or "box-0")
+    world.cut_from_peers.add(box or "box-0")
     world.cut_from_table.add(box or "box-0")
 
 
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -84,12 +84,12 @@
 
     @rule(name=st.sampled_from(["box-0", "box-1"]))
     def cut_off(self, name):
-        self.world.cut.add(name)
+        self.world.cut_from_peers.add(name)
         self.world.cut_from_table.add(name)
 
     @rule()
     def join(self):
-        self.world.cut.clear()
+        self.world.cut_from_peers.clear()
         self.world.cut_from_table.clear()
 
     @invariant()
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -78,7 +78,7 @@
     assert_recovered(world)
 
 
-@pytest.mark.parametrize("fault", ["cut", "deaf"])
+@pytest.mark.parametrize("fault", ["cut_from_peers", "not_receiving"])
 def test_an_isolated_box_stops_in_time_and_no_edit_is_accepted_before(world, fault):
     getattr(world, fault).add("box-1")
     world.cut_from_table.add("box-1")
@@ -162,7 +162,7 @@
     world.start_box("box-3", "hall-b")
     world.list_boxes()
     world.tick()
-    world.split = {"box-1", "box-3"}
+    world.second_partition = {"box-1", "box-3"}
     world.cut_from_table = {"box-1", "box-3"}
     assert world.edit("box-0", Change("hall-a", "rank", "3"), rounds=20) is EditStatus.PENDING
     assert rank(world) == {"box-0": 3, "box-1": 5, "box-2": 3, "box-3": 5}
--- a/tests/world.py
+++ b/tests/world.py
@@ -203,9 +203,9 @@
         self.links = {}
         self.paused = set()
         self.busy = set()
-        self.cut = set()
-        self.deaf = set()
-        self.split = set()
+        self.cut_from_peers = set()
+        self.not_receiving = set()
+        self.second_partition = set()
         self.cut_from_table = set()
         self.table_slow = False
         self.incarnations = Counter()
@@ -347,18 +347,18 @@
                         self._turn(one, other)
 
     def _linked(self, one, other):
-        halves = (one in self.split) != (other in self.split)
-        return not {one, other} & self.cut and not halves
+        halves = (one in self.second_partition) != (other in self.second_partition)
+        return not {one, other} & self.cut_from_peers and not halves
 
     def _turn(self, one, other):
-        if {one, other} & self.deaf:
+        if {one, other} & self.not_receiving:
             # A link on which an answer is missing is opened anew, with nothing remembered.
             self.links.pop((one, other), None)
         ours, theirs = self.links.setdefault((one, other), (LinkState(), LinkState()))
         left, right = self.boxes[one].membership, self.boxes[other].membership
-        if other not in self.deaf:
+        if other not in self.not_receiving:
             right.apply(left.next_sync(ours), theirs)
-        if one not in self.deaf:
+        if one not in self.not_receiving:
             left.apply(right.next_sync(theirs), ours)
 
     def list_boxes(self):
@@ -498,9 +498,9 @@
         faults = replace(self.store.faults, down=False, stale=False, lose_answers=0)
         self.store.set_faults(replace(faults, list_frozen=False))
         self.table_slow = False
-        self.cut.clear()
-        self.deaf.clear()
-        self.split.clear()
+        self.cut_from_peers.clear()
+        self.not_receiving.clear()
+        self.second_partition.clear()
         self.cut_from_table.clear()
         for target in self.targets.values():
             target.thaw()
@@ -542,7 +542,11 @@
             return Broken(Reason.TARGET_BROKEN, "closed before it ran")
         if target.leaving_since is not None:
             known_s = world.clock() - target.tell(world.clock())
-            if known_s > LEAVING_S and self._box not in world.cut | world.deaf | world.split:
+            if (
+                known_s > LEAVING_S
+                and self._box
+                not in world.cut_from_peers | world.not_receiving | world.second_partition
+            ):
                 target.new_while_leaving.append(self._box)
             return Refused("draining", LoadReport(0, leaving=True, incarnation="1"))
         if target.mode == "refuse":
