--- a/tests/matrix.py
+++ b/tests/matrix.py
@@ -238,8 +238,8 @@
     for target in world.targets.values():
         runs.update(target.runs)
         wrong += _check_probes(world, target)
-        if target.new_while_leaving:
-            senders = ", ".join(target.new_while_leaving)
+        if target.senders_while_leaving:
+            senders = ", ".join(target.senders_while_leaving)
             wrong.append(f"{target.address} got new work from {senders} long after it had told")
     for request in world.requests:
         wrong += _check_request(request, runs[request.mark])
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -56,7 +56,7 @@
     @rule(mode=st.sampled_from(MODES), which=st.integers(0, 3))
     def fault(self, mode, which):
         target = list(self.world.targets.values())[which]
-        target.thaw()
+        target.unfreeze()
         target.mode = mode
 
     @rule(name=st.sampled_from(["box-0", "box-1"]))
@@ -96,7 +96,7 @@
     def no_loan_runs_twice_or_runs_after_all_attempts_reported_not_run(self):
         for request in self.world.requests:
             runs = sum(t.runs[request.mark] for t in self.world.targets.values())
-            held = sum(request.mark in t.held for t in self.world.targets.values())
+            held = sum(request.mark in t.held_requests for t in self.world.targets.values())
             assert runs + held <= 1
             if request.outcomes and set(request.outcomes) == {Outcome.NOT_RUN}:
                 assert runs + held == 0
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -148,7 +148,7 @@
     world.start_box("box-2", "hall-a")
     for _ in range(6):
         world.call("lookup")
-    assert target.told_at is not None
+    assert target.leaving_reported_at is not None
     for _ in range(3):
         world.tick()
     for core in world.boxes.values():
--- a/tests/world.py
+++ b/tests/world.py
@@ -72,22 +72,22 @@
     runs: Counter = field(default_factory=Counter)
     probes: list[float] = field(default_factory=list)
     leaving_since: float | None = None
-    told_at: float | None = None
-    new_while_leaving: list[float] = field(default_factory=list)
+    leaving_reported_at: float | None = None
+    senders_while_leaving: list[float] = field(default_factory=list)
     mode: str = "well"
-    held: list[str] = field(default_factory=list)
+    held_requests: list[str] = field(default_factory=list)
 
-    def tell(self, now):
+    def report_leaving(self, now):
         """Tell a box that it leaves; return when it first told any box."""
-        if self.told_at is None:
-            self.told_at = now
-        return self.told_at
+        if self.leaving_reported_at is None:
+            self.leaving_reported_at = now
+        return self.leaving_reported_at
 
-    def thaw(self):
+    def unfreeze(self):
         """Run what was held while frozen: nobody told the target to stop."""
-        for mark in self.held:
+        for mark in self.held_requests:
             self.runs[mark] += 1
-        self.held = []
+        self.held_requests = []
 
 
 @dataclass
@@ -407,7 +407,7 @@
         if target.mode == "frozen":
             return None
         if target.leaving_since is not None:
-            target.tell(self.clock())
+            target.report_leaving(self.clock())
         return LoadReport(in_flight=0, leaving=target.leaving_since is not None, incarnation="1")
 
     def _check_seat(self, name):
@@ -503,7 +503,7 @@
         self.second_partition.clear()
         self.cut_from_table.clear()
         for target in self.targets.values():
-            target.thaw()
+            target.unfreeze()
             if target.mode != "draining":
                 target.mode = "well"
         for number, place in enumerate(PLACES):
@@ -541,18 +541,18 @@
         if target.mode == "drop-before":
             return Broken(Reason.TARGET_BROKEN, "closed before it ran")
         if target.leaving_since is not None:
-            known_s = world.clock() - target.tell(world.clock())
+            known_s = world.clock() - target.report_leaving(world.clock())
             if (
                 known_s > LEAVING_S
                 and self._box
                 not in world.cut_from_peers | world.not_receiving | world.second_partition
             ):
-                target.new_while_leaving.append(self._box)
+                target.senders_while_leaving.append(self._box)
             return Refused("draining", LoadReport(0, leaving=True, incarnation="1"))
         if target.mode == "refuse":
             return Refused("shed", LoadReport(6, incarnation="1"))
         if target.mode == "frozen":
-            target.held.append(call.call_id)
+            target.held_requests.append(call.call_id)
             world.clock.advance(2.5)
             return Broken(Reason.DEADLINE_EXPIRED, "no answer")
         return self._ran(call, target, data)
