--- a/tests/matrix.py
+++ b/tests/matrix.py
@@ -242,7 +242,7 @@
             senders = ", ".join(target.senders_while_leaving)
             wrong.append(f"{target.address} got new work from {senders} long after it had told")
     for request in world.requests:
-        wrong += _check_request(request, runs[request.mark])
+        wrong += _check_request(request, runs[request.request_id])
     for (name, _), versions in world.versions.items():
         if versions != sorted(set(versions)):
             wrong.append(f"{name} went back in version: {versions}")
@@ -258,12 +258,12 @@
 
 def _check_request(request, runs):
     if request.kind == "loan" and runs > 1:
-        yield f"loan {request.mark} ran {runs} times"
+        yield f"loan {request.request_id} ran {runs} times"
     if request.outcomes and set(request.outcomes) == {Outcome.NOT_RUN} and runs:
-        yield f"{request.kind} {request.mark} was refused as not run and ran {runs} times"
-    for data in request.data:
-        if data != b"answer to " + request.mark.encode() + b"body":
-            yield f"{request.mark} got {data!r}"
+        yield f"{request.kind} {request.request_id} was refused as not run and ran {runs} times"
+    for data in request.bodies:
+        if data != b"answer to " + request.request_id.encode() + b"body":
+            yield f"{request.request_id} got {data!r}"
 
 
 def _check_healed(world):
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -43,15 +43,15 @@
         self.world.requests.append(request)
         listing = self.world.request_addresses()
         entry = listing.addresses[0] if listing else None
-        self.keys[request.mark] = entry
+        self.keys[request.request_id] = entry
         return request
 
     @rule(request=requests, box=st.sampled_from(["box-0", "box-1", "own"]))
     def send(self, request, box):
-        entry = self.keys[request.mark]
+        entry = self.keys[request.request_id]
         if entry is not None:
             where = entry.box if box == "own" else box
-            self.world.send(request, where, entry.once_stem + request.mark)
+            self.world.send(request, where, entry.once_stem + request.request_id)
 
     @rule(mode=st.sampled_from(MODES), which=st.integers(0, 3))
     def fault(self, mode, which):
@@ -95,8 +95,8 @@
     @invariant()
     def no_loan_runs_twice_or_runs_after_all_attempts_reported_not_run(self):
         for request in self.world.requests:
-            runs = sum(t.runs[request.mark] for t in self.world.targets.values())
-            held = sum(request.mark in t.held_requests for t in self.world.targets.values())
+            runs = sum(t.runs[request.request_id] for t in self.world.targets.values())
+            held = sum(request.request_id in t.held_requests for t in self.world.targets.values())
             assert runs + held <= 1
             if request.outcomes and set(request.outcomes) == {Outcome.NOT_RUN}:
                 assert runs + held == 0
--- a/tests/world.py
+++ b/tests/world.py
@@ -94,11 +94,11 @@
 class Request:
     """One request of a caller and all that it learnt of it."""
 
-    mark: str
+    request_id: str
     kind: str
     key_part: str = ""
     outcomes: list[Outcome] = field(default_factory=list)
-    data: list[bytes] = field(default_factory=list)
+    bodies: list[bytes] = field(default_factory=list)
 
 
 class Reply:
@@ -443,7 +443,7 @@
         self.requests.append(request)
         found = self.request_addresses()
         for entry in found.addresses if found else ():
-            key = f"{entry.once_stem}{request.mark}" if kind == "loan" else None
+            key = f"{entry.once_stem}{request.request_id}" if kind == "loan" else None
             self.send(request, entry.box, key)
             for _ in range(repeats):
                 if request.outcomes[-1] is Outcome.UNKNOWN:
@@ -461,7 +461,7 @@
             request.outcomes.append(Outcome.NOT_RUN)
             return
         call = Call(
-            call_id=request.mark,
+            call_id=request.request_id,
             service="holdings",
             kind=request.kind,
             method="POST",
@@ -483,12 +483,14 @@
         if result.begun:
             outcome = Outcome.ANSWERED if reply.whole else Outcome.UNKNOWN
             if reply.whole:
-                request.data.append(b"".join(reply.parts))
+                request.bodies.append(b"".join(reply.parts))
         request.outcomes.append(outcome)
-        runs = sum(target.runs[request.mark] for target in self.targets.values())
+        runs = sum(target.runs[request.request_id] for target in self.targets.values())
         if outcome is Outcome.NOT_RUN and key is not None and runs:
             # Its caller would send the loan anew, with another key.
-            self.violations.append(f"{box} said not run of {request.mark}, which ran: {result}")
+            self.violations.append(
+                f"{box} said not run of {request.request_id}, which ran: {result}"
+            )
 
     # Healing
 
