--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -14,7 +14,7 @@
 from tests.world import Request, World
 
 MODES = (
-    "well",
+    "healthy",
     "refuse",
     "gone",
     "drop-before",
--- a/tests/world.py
+++ b/tests/world.py
@@ -74,7 +74,7 @@
     leaving_since: float | None = None
     leaving_reported_at: float | None = None
     senders_while_leaving: list[float] = field(default_factory=list)
-    mode: str = "well"
+    mode: str = "healthy"
     held_requests: list[str] = field(default_factory=list)
 
     def report_leaving(self, now):
@@ -507,7 +507,7 @@
         for target in self.targets.values():
             target.unfreeze()
             if target.mode != "draining":
-                target.mode = "well"
+                target.mode = "healthy"
         for number, place in enumerate(PLACES):
             if not any(core.place == place for core in self.boxes.values()):
                 self.start_box(f"box-{number}", place)
