--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -49,7 +49,7 @@
 
 
 @pytest.fixture
-def faults(fleet):
+def set_target_faults(fleet):
     """Put the same faults in force at all targets, until the test ends."""
 
     def put(fault):
--- a/tests/test_system.py
+++ b/tests/test_system.py
@@ -50,8 +50,8 @@
             assert json.loads(result.data)["mark"] == mark
 
 
-def test_loan_without_an_answer_is_unknown_and_runs_once(fleet, client, faults):
-    faults(TargetFaults(drop=1))
+def test_loan_without_an_answer_is_unknown_and_runs_once(fleet, client, set_target_faults):
+    set_target_faults(TargetFaults(drop=1))
     request = Request(**{**_fields(LOAN), "headers": {"X-Mark": "dropped"}})
     entry = client.addresses().addresses[0]
     key = entry.once_stem + "dropped"
@@ -62,16 +62,16 @@
     assert runs(fleet, "dropped") == 1
 
 
-def test_lookup_without_an_answer_is_retried_at_another_target(fleet, client, faults):
-    faults(TargetFaults(drop=1))
+def test_lookup_without_an_answer_is_retried_at_another_target(fleet, client, set_target_faults):
+    set_target_faults(TargetFaults(drop=1))
     fleet.set_target(1, TargetFaults())
     request = Request(**{**_fields(LOOKUP), "headers": {"X-Mark": "again"}})
     results = [client.call(request) for _ in range(4)]
     assert {r.outcome for r in results} == {Outcome.ANSWERED}
 
 
-def test_loan_refused_by_the_target_is_not_run(fleet, client, faults):
-    faults(TargetFaults(refuse=True))
+def test_loan_refused_by_the_target_is_not_run(fleet, client, set_target_faults):
+    set_target_faults(TargetFaults(refuse=True))
     request = Request(**{**_fields(LOAN), "headers": {"X-Mark": "refused"}})
     result = client.call(request)
     assert (result.outcome, result.reason) == (Outcome.NOT_RUN, "target-refused")
@@ -120,8 +120,8 @@
     assert response.headers["Dunlinnotch-Reason"] == reason
 
 
-def test_bytes_after_an_answer_are_not_read_as_the_next_answer(fleet, client, faults):
-    faults(TargetFaults(longer=5))
+def test_bytes_after_an_answer_are_not_read_as_the_next_answer(fleet, client, set_target_faults):
+    set_target_faults(TargetFaults(longer=5))
     for number in range(10):
         request = Request(**{**_fields(LOOKUP), "headers": {"X-Mark": f"longer-{number}"}})
         result = client.call(request)
@@ -129,12 +129,12 @@
         assert json.loads(result.data)["mark"] == f"longer-{number}"
 
 
-def test_drained_box_answers_its_calls_and_exits(fleet, faults):
+def test_drained_box_answers_its_calls_and_exits(fleet, set_target_faults):
     fleet.start_boxes({"box-3": "hall-b"})
     fleet.edit("box-1", Change("/", "keep_s", "0.1"))
     box = fleet.boxes.pop("box-3")
     with ThreadPoolExecutor(1) as pool:
-        faults(TargetFaults(late_s=1.0))
+        set_target_faults(TargetFaults(late_s=1.0))
         entry = AddressEntry("box-3", "hall-b", box.caller, "")
         client = CallerClient([box.caller], caller="x")
         late = pool.submit(client.send, LOOKUP, entry, None)
@@ -147,8 +147,8 @@
     assert "box-3" not in [entry.box for entry in answer.addresses]
 
 
-def test_call_of_a_caller_that_leaves_is_cancelled_at_the_target(fleet, faults):
-    faults(TargetFaults(late_s=30.0))
+def test_call_of_a_caller_that_leaves_is_cancelled_at_the_target(fleet, set_target_faults):
+    set_target_faults(TargetFaults(late_s=30.0))
     before = cancelled(fleet)
     host, _, port = fleet.boxes["box-1"].caller.rpartition(":")
     with socket.create_connection((host, int(port))) as sock:
@@ -157,8 +157,8 @@
     wait_until(lambda: cancelled(fleet) > before, what="the call is cancelled")
 
 
-def test_call_past_its_deadline_is_answered_and_cancelled(fleet, client, faults):
-    faults(TargetFaults(late_s=30.0))
+def test_call_past_its_deadline_is_answered_and_cancelled(fleet, client, set_target_faults):
+    set_target_faults(TargetFaults(late_s=30.0))
     before = cancelled(fleet)
     result = client.call(Request("holdings", "lookup", deadline_s=1.0))
     assert (result.outcome, result.status) == (Outcome.UNKNOWN, 504)
