--- a/tests/matrix.py
+++ b/tests/matrix.py
@@ -166,7 +166,7 @@
     script(world)
     reached = len(world.hooks[cell.step]) < placed
     world.heal()
-    return check(world), reached
+    return find_violations(world), reached
 
 
 def setup(world):
@@ -231,7 +231,7 @@
             return
 
 
-def check(world):
+def find_violations(world):
     """Return every broken promise."""
     wrong = list(world.violations)
     runs = Counter()
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -6,7 +6,7 @@
 from dunlinnotch.standins.platform import PlatformFaults
 from dunlinnotch.state.schema import RunState
 from dunlinnotch.state.tree import Change, Edit
-from tests.matrix import check, setup
+from tests.matrix import find_violations, setup
 from tests.world import BOXES_MAX, CUT_OFF_S, LEASE_S, World
 
 
@@ -23,7 +23,7 @@
 
 def assert_recovered(world):
     world.heal()
-    assert check(world) == []
+    assert find_violations(world) == []
 
 
 def test_boxes_replaced_one_by_one_during_a_table_outage_keep_the_settings(world):
