--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -49,7 +49,7 @@
 from dunlinnotch.state.targets import TargetRecord
 from dunlinnotch.state.tree import SettingsTree
 from dunlinnotch.transport.targets import ConnectionPools
-from tests.matrix import cells, run
+from tests.matrix import list_cells, run_cell
 
 
 @dataclass(frozen=True)
@@ -509,10 +509,10 @@
             with contextlib.redirect_stdout(io.StringIO()):
                 code = pytest.main(["-x", "-p", "no:cacheprovider", mutant.tests])
             return mutant.tests if code == pytest.ExitCode.TESTS_FAILED else None
-        for cell in cells():
-            wrong, _ = run(cell)
-            if wrong:
-                return f"{cell}: {wrong[0]}"
+        for cell in list_cells():
+            violations, _ = run_cell(cell)
+            if violations:
+                return f"{cell}: {violations[0]}"
     return None
 
 
--- a/tests/world.py
+++ b/tests/world.py
@@ -1,8 +1,8 @@
-"""Real boxes in one process, with faults placed exactly at a step.
+"""A simulated system of boxes in one process, with faults injected at chosen steps.
 
-Only what lies outside the boxes is fake: clock, platform, targets, callers and
-the way between them.  A hook runs in the middle of the box's own call, so a
-box is killed, paused or cut at just that point.
+The boxes run the real code; clock, platform, targets, callers and network are simulated.
+A step calls its hooks in the middle of the box's own call, so that a box can be killed,
+paused or cut off at exactly that point.
 """
 
 from __future__ import annotations
@@ -51,22 +51,23 @@
     "drain",
 )
 PLACES = ("hall-a", "hall-b")
-#: Fewer seats than boxes, so that a seat that lapses finds a taker.
+#: Fewer probe leases than boxes, so that another box acquires a lease that expires.
 BOXES_MAX = 2
 PROBE_RATE = 0.4
 LEASE_S = 60.0
 KEEP_S = 5.0
 CUT_OFF_S = 10.0
-LEAVING_S = 5.0
+#: Time after a target first reports that it is leaving until no box may send to it.
+LEAVING_GRACE_S = 5.0
 
 
 class BoxKilledError(BaseException):
-    """Unwinds the call in which a box was killed."""
+    """Unwinds the call in the middle of which a box was killed."""
 
 
 @dataclass
 class Target:
-    """A target that counts what it ran."""
+    """A simulated target that counts how often it ran each request."""
 
     address: str
     runs: Counter = field(default_factory=Counter)
@@ -78,21 +79,21 @@
     held_requests: list[str] = field(default_factory=list)
 
     def report_leaving(self, now):
-        """Tell a box that it leaves; return when it first told any box."""
+        """Report to a box that the target is leaving; return when it first did so to any box."""
         if self.leaving_reported_at is None:
             self.leaving_reported_at = now
         return self.leaving_reported_at
 
     def unfreeze(self):
-        """Run what was held while frozen: nobody told the target to stop."""
-        for mark in self.held_requests:
-            self.runs[mark] += 1
+        """Run the requests held while frozen, as none of them was cancelled."""
+        for request_id in self.held_requests:
+            self.runs[request_id] += 1
         self.held_requests = []
 
 
 @dataclass
 class Request:
-    """One request of a caller and all that it learnt of it."""
+    """A request, its outcomes as its caller saw them, and the answer bodies received."""
 
     request_id: str
     kind: str
@@ -102,11 +103,11 @@
 
 
 class Reply:
-    """Collects an answer."""
+    """Collects the answer that a box sends to the caller."""
 
     def __init__(self):
         self.parts = []
-        self.whole = False
+        self.complete = False
 
     def begin(self, head, *, target):
         pass
@@ -115,11 +116,11 @@
         self.parts.append(chunk)
 
     def finish(self):
-        self.whole = True
+        self.complete = True
 
 
 class Body:
-    """A small request body."""
+    """A small request body that can be sent again."""
 
     replayable = True
 
@@ -127,8 +128,8 @@
         yield b"body"
 
 
-class Watch:
-    """A caller that stays."""
+class ConnectedCaller:
+    """A caller that never disconnects."""
 
     def gone(self):
         return False
@@ -138,7 +139,7 @@
 
 
 class AnswerBody:
-    """An answer's body, cut in the middle if told so."""
+    """The body of an answer, optionally cut off after three bytes."""
 
     def __init__(self, data, *, cut):
         self._data = data
@@ -154,8 +155,8 @@
         pass
 
 
-class Link:
-    """One box's way to the platform: the shared store, faults, and its own cut."""
+class BoxPlatform:
+    """The shared platform as one box reaches it, with faults injected."""
 
     def __init__(self, world, name):
         self._world = world
@@ -165,17 +166,17 @@
     def __getattr__(self, name):
         inner = getattr(self._inner, name)
 
-        def ask(*args, **kwargs):
+        def invoke(*args, **kwargs):
             self._world.reach(self._step(name, args), box=self._name)
             if self._name in self._world.cut_from_table:
-                raise PlatformUnavailableError("cut")
+                raise PlatformUnavailableError("box is cut off from the table")
             if self._world.table_slow:
                 inner(*args, **kwargs)
                 self._world.clock.advance(1.0)
-                raise PlatformUnavailableError("took too long")
+                raise PlatformUnavailableError("table answered too late")
             return inner(*args, **kwargs)
 
-        return ask
+        return invoke
 
     @staticmethod
     def _step(name, args):
@@ -185,13 +186,36 @@
 
 
 class Front:
-    """The caller port of a box, as far as a drain needs it."""
+    """The caller port of a box, reduced to what a drain sets."""
 
     closing = False
 
 
 class World:
-    """Boxes, targets, callers, operators and their platform."""
+    """Simulated boxes, targets, callers, operators and platform on a clock moved by hand.
+
+    Attributes
+    ----------
+    hooks : dict
+        For each step, the actions to run the next times that it is reached.
+    paused, busy : set of str
+        Boxes that are suspended, and boxes in the middle of a hook; neither runs its tasks.
+    cut_from_peers : set of str
+        Boxes that exchange nothing with other boxes.
+    not_receiving : set of str
+        Boxes that other boxes receive from, but that receive nothing from them.
+    second_partition : set of str
+        Boxes that reach each other, but no box outside this set.
+    cut_from_table : set of str
+        Boxes that can't reach the platform.
+    versions : dict
+        Versions of the settings that each incarnation of a box applied, in order.
+    violations : list of str
+        What contradicted a guarantee while the system ran.
+    address_answers : list of tuple
+        For each address answer given to a caller, the time until which it is valid, then
+        the answer itself.
+    """
 
     def __init__(self, seed=1):
         self.clock = FakeClock()
@@ -211,29 +235,36 @@
         self.incarnations = Counter()
         self.targets = {f"10.0.0.{n}:80": Target(f"10.0.0.{n}:80") for n in range(4)}
         self.requests = []
-        self.accepted = []
+        self.accepted_edits = []
         self.versions = defaultdict(list)
         self.violations = []
-        self.began = self.clock()
-        self.kept_answers = []
+        self.started_at = self.clock()
+        self.address_answers = []
 
     # Faults and hooks
 
     def add_hook(self, step, action, *, times=1):
-        """Have ``action(world, box, target)`` done the next ``times`` times at a step."""
+        """Run ``action(world, box, target)`` the next ``times`` times that a step is reached."""
         self.hooks[step] += [action] * times
 
     def reach(self, step, *, box=None, target=None):
-        """Note that a step is reached; do what is placed there."""
+        """Run the next hook of a step.
+
+        Raises
+        ------
+        BoxKilledError
+            If the box is no longer running after the hook.
+        """
         if self.hooks[step] and box not in self.paused:
             action = self.hooks[step].pop(0)
-            # Its own thread is in the middle of this call, perhaps with locks held.
-            others_only = box not in self.busy
+            # The box is in the middle of this call, possibly with locks held, so that nothing
+            # else may run on it until the hook returns.
+            newly_busy = box not in self.busy
             self.busy.add(box)
             try:
                 action(self, box, target)
             finally:
-                if others_only:
+                if newly_busy:
                     self.busy.discard(box)
             if box is not None and box in self.incarnations and box not in self.boxes:
                 raise BoxKilledError
@@ -242,7 +273,7 @@
         self.boxes.pop(box, None)
 
     def pause(self, box, seconds):
-        """Stop one box in the middle of what it does, while the others go on."""
+        """Suspend a box in the middle of its current call while the others run on."""
         self.paused.add(box)
         end = self.clock() + seconds
         while self.clock() < end:
@@ -259,7 +290,7 @@
         self.fronts[name] = Front()
         core = BoxCore(
             row,
-            platform=Link(self, name),
+            platform=BoxPlatform(self, name),
             transport=Transport(self, name),
             probe=lambda target: self.probe(name, target),
             observer=Observer(),
@@ -267,20 +298,20 @@
             clock=self.clock,
             rng=self.rng,
             timing=Timing(lease_s=LEASE_S, forget_s=20.0),
-            on_settings=lambda: self.note_version(name, core),
+            on_settings=lambda: self.record_version(name, core),
         )
-        self._hook(core, name)
+        self._install_hooks(core, name)
         self.boxes[name] = core
         self.links = {pair: state for pair, state in self.links.items() if name not in pair}
         try:
             self.reach("start", box=name)
-            self._quiet(core.poll_store)
+            self._ignore_unavailable(core.poll_store)
             core.maintain()
             core.renew_probe_lease()
         except BoxKilledError:
             self.kill(name)
 
-    def _hook(self, core, name):
+    def _install_hooks(self, core, name):
         enter, pool = core.gate.enter, core.directory.pool
 
         def accept():
@@ -288,9 +319,9 @@
             return enter()
 
         def hooked_pool(service):
-            found = pool(service)
-            if found is not None and "enter" not in vars(found):
-                admit, choose = found.enter, found._chooser.choose
+            service_pool = pool(service)
+            if service_pool is not None and "enter" not in vars(service_pool):
+                admit, choose = service_pool.enter, service_pool._chooser.choose
 
                 def hooked_enter(ticket):
                     self.reach("admit", box=name)
@@ -300,15 +331,15 @@
                     self.reach("choose", box=name)
                     return choose(*args, **kwargs)
 
-                found.enter, found._chooser.choose = hooked_enter, hooked_choose
-            return found
+                service_pool.enter, service_pool._chooser.choose = hooked_enter, hooked_choose
+            return service_pool
 
         core.gate.enter, core.directory.pool = accept, hooked_pool
 
-    def note_version(self, name, core):
+    def record_version(self, name, core):
         self.versions[name, core.membership.own.incarnation].append(core.holder.version)
 
-    def _quiet(self, act):
+    def _ignore_unavailable(self, act):
         try:
             return act()
         except PlatformUnavailableError:
@@ -318,17 +349,17 @@
         return {n: c for n, c in self.boxes.items() if n not in self.paused | self.busy}
 
     def tick(self, seconds=1.0):
-        """Let time pass, and each box do what its threads do."""
+        """Advance the clock; run the periodic tasks of each active box, then sync the boxes."""
         self.clock.advance(seconds)
         for name in list(self.active()):
             core = self.boxes.get(name)
             if core is not None:
-                self._live(name, core)
+                self._run_box(name, core)
         self.sync()
 
-    def _live(self, name, core):
+    def _run_box(self, name, core):
         try:
-            self._quiet(core.poll_store)
+            self._ignore_unavailable(core.poll_store)
             core.maintain()
             core.apply_run_state()
             core.drain.advance()
@@ -339,27 +370,32 @@
             self.kill(name)
 
     def sync(self):
-        """Let each pair of boxes that hear each other take a turn."""
+        """Run two sync rounds between each pair of connected boxes."""
         for _ in range(2):
-            for one in sorted(self.active()):
-                for other in sorted(self.active()):
-                    if one < other and self._linked(one, other):
-                        self._turn(one, other)
-
-    def _linked(self, one, other):
-        halves = (one in self.second_partition) != (other in self.second_partition)
-        return not {one, other} & self.cut_from_peers and not halves
-
-    def _turn(self, one, other):
-        if {one, other} & self.not_receiving:
-            # A link on which an answer is missing is opened anew, with nothing remembered.
-            self.links.pop((one, other), None)
-        ours, theirs = self.links.setdefault((one, other), (LinkState(), LinkState()))
-        left, right = self.boxes[one].membership, self.boxes[other].membership
-        if other not in self.not_receiving:
-            right.apply(left.next_sync(ours), theirs)
-        if one not in self.not_receiving:
-            left.apply(right.next_sync(theirs), ours)
+            for first in sorted(self.active()):
+                for second in sorted(self.active()):
+                    if first < second and self._linked(first, second):
+                        self._sync_pair(first, second)
+
+    def _linked(self, first, second):
+        separated = (first in self.second_partition) != (second in self.second_partition)
+        return not {first, second} & self.cut_from_peers and not separated
+
+    def _sync_pair(self, first, second):
+        if {first, second} & self.not_receiving:
+            # A box that gets no answer reconnects with an empty link state.
+            self.links.pop((first, second), None)
+        first_state, second_state = self.links.setdefault(
+            (first, second), (LinkState(), LinkState())
+        )
+        first_membership, second_membership = (
+            self.boxes[first].membership,
+            self.boxes[second].membership,
+        )
+        if second not in self.not_receiving:
+            second_membership.apply(first_membership.next_sync(first_state), second_state)
+        if first not in self.not_receiving:
+            first_membership.apply(second_membership.next_sync(second_state), first_state)
 
     def list_boxes(self):
         self.store.set_boxes(tuple(ListedBox(name, name) for name in self.boxes))
@@ -367,7 +403,7 @@
     # Operators
 
     def edit(self, box, *changes, key=None, rounds=30):
-        """Make an edit as an operator who asks again, with the same id, while it is open."""
+        """Submit an edit as an operator who retries with the same id until it is decided."""
         key = key or uuid.UUID(int=self.rng.getrandbits(128)).hex
         status = EditStatus.UNAVAILABLE
         for _ in range(rounds):
@@ -387,75 +423,77 @@
                 break
             self.tick()
         if status is EditStatus.ACCEPTED:
-            self.note_accepted(box, key)
+            self.record_accepted(box, key)
         return status
 
-    def note_accepted(self, box, key):
-        """An accepted edit must be in force on every box that takes work now."""
+    def record_accepted(self, box, key):
+        """Record an accepted edit; a box that accepts work without it is a violation."""
         version = self.boxes[box].holder.tree.find_edit(key).version
-        self.accepted.append((key, version))
+        self.accepted_edits.append((key, version))
         for name, core in self.boxes.items():
             if core.gate.refusal() is None and core.holder.version < version:
-                self.violations.append(f"edit {version} accepted, but {name} serves without it")
+                self.violations.append(
+                    f"edit {version} was accepted, but {name} accepts work without it"
+                )
 
     # Targets
 
     def probe(self, name, address):
         target = self.targets[address]
         target.probes.append(self.clock())
-        self._check_seat(name)
+        self._check_lease(name)
         if target.mode == "frozen":
             return None
         if target.leaving_since is not None:
             target.report_leaving(self.clock())
         return LoadReport(in_flight=0, leaving=target.leaving_since is not None, incarnation="1")
 
-    def _check_seat(self, name):
-        """A box that probes must be the one that the table names for its seat."""
+    def _check_lease(self, name):
+        """Record a violation if the table names another holder of the box's probe lease."""
         core = self.boxes[name]
         lease = core.probe_lease.lease
         row = self.store.rows[lease.key] if lease else None
         value = _codec.from_json(ProbeLeaseValue, row.value.encode()) if row else None
-        own = (name, core.membership.own.incarnation)
-        if value is None or (value.box, value.incarnation) != own:
-            self.violations.append(f"{name} probed on the seat of {value}")
+        prober = (name, core.membership.own.incarnation)
+        if value is None or (value.box, value.incarnation) != prober:
+            self.violations.append(f"{name} probed with the probe lease of {value}")
 
     # Callers
 
     def request_addresses(self):
-        """Return an address answer from any box that gives one, or the one kept."""
+        """Return the first address answer that a box gives, or None if none gives one."""
         for name in list(self.active()):
             try:
                 self.reach("ask", box=name)
                 core = self.boxes.get(name)
-                found = core.addresses("caller", "hall-a") if core else None
+                listing = core.addresses("caller", "hall-a") if core else None
             except BoxKilledError:
                 self.kill(name)
                 continue
-            if found is not None and found.addresses:
-                self.kept_answers.append((self.clock() + found.keep_s, found))
-                return found
+            if listing is not None and listing.addresses:
+                self.address_answers.append((self.clock() + listing.keep_s, listing))
+                return listing
         return None
 
-    def call(self, kind, *, repeats=0):
-        """Send one request the way callers do, asking again while its end is unknown."""
+    def call(self, kind, *, retries=0):
+        """Send one request to the listed boxes in turn, with retries of an unknown outcome."""
         request = Request(f"m{len(self.requests)}", kind)
         self.requests.append(request)
-        found = self.request_addresses()
-        for entry in found.addresses if found else ():
+        listing = self.request_addresses()
+        for entry in listing.addresses if listing else ():
             key = f"{entry.once_stem}{request.request_id}" if kind == "loan" else None
             self.send(request, entry.box, key)
-            for _ in range(repeats):
+            for _ in range(retries):
                 if request.outcomes[-1] is Outcome.UNKNOWN:
                     self.send(request, entry.box, key)
-                    # Another box asked with the same key must not run it either.
-                    self.send(request, found.addresses[-1].box, key)
+                    # Another box that gets the same key must not run the request either.
+                    self.send(request, listing.addresses[-1].box, key)
             if request.outcomes[-1] is not Outcome.NOT_RUN:
                 break
         return request
 
     def send(self, request, box, key):
-        """Send a request to one box and note what the caller learns."""
+        """Send a request to a box; record the outcome and the answer that the caller sees."""
         core = self.boxes.get(box)
         if core is None or box in self.paused:
             request.outcomes.append(Outcome.NOT_RUN)
@@ -474,28 +512,28 @@
         )
         reply = Reply()
         try:
-            result = core.route(call, Body(), reply, Watch())
+            result = core.route(call, Body(), reply, ConnectedCaller())
         except BoxKilledError:
             self.kill(box)
             request.outcomes.append(Outcome.UNKNOWN)
             return
         outcome = result.outcome
         if result.begun:
-            outcome = Outcome.ANSWERED if reply.whole else Outcome.UNKNOWN
-            if reply.whole:
+            outcome = Outcome.ANSWERED if reply.complete else Outcome.UNKNOWN
+            if reply.complete:
                 request.bodies.append(b"".join(reply.parts))
         request.outcomes.append(outcome)
         runs = sum(target.runs[request.request_id] for target in self.targets.values())
         if outcome is Outcome.NOT_RUN and key is not None and runs:
-            # Its caller would send the loan anew, with another key.
+            # The caller would send the loan again with a new key, and it would run twice.
             self.violations.append(
-                f"{box} said not run of {request.request_id}, which ran: {result}"
+                f"{box} reported {request.request_id} as not run, but it ran: {result}"
             )
 
     # Healing
 
     def heal(self):
-        """End all faults and let the boxes find each other again."""
+        """Clear all faults, start a box where a place has none, and wait for recovery."""
         self.hooks.clear()
         faults = replace(self.store.faults, down=False, stale=False, lose_answers=0)
         self.store.set_faults(replace(faults, list_frozen=False))
@@ -517,7 +555,7 @@
 
 
 class Observer:
-    """Counts nothing."""
+    """An observer that ignores all events."""
 
     def attempt_ended(self, result, *, why, retry):
         pass
@@ -527,7 +565,7 @@
 
 
 class Transport:
-    """The way from one box to the targets, with the steps of an attempt."""
+    """The transport from one box to the simulated targets."""
 
     def __init__(self, world, box):
         self._world = world
@@ -541,11 +579,13 @@
         data = b"".join(body.chunks())
         world.reach("send", box=self._box, target=target)
         if target.mode == "drop-before":
-            return Broken(Reason.TARGET_BROKEN, "closed before it ran")
+            return Broken(
+                Reason.TARGET_BROKEN, "target closed the connection before it ran the request"
+            )
         if target.leaving_since is not None:
-            known_s = world.clock() - target.report_leaving(world.clock())
+            reported_for_s = world.clock() - target.report_leaving(world.clock())
             if (
-                known_s > LEAVING_S
+                reported_for_s > LEAVING_GRACE_S
                 and self._box
                 not in world.cut_from_peers | world.not_receiving | world.second_partition
             ):
@@ -556,11 +596,11 @@
         if target.mode == "frozen":
             target.held_requests.append(call.call_id)
             world.clock.advance(2.5)
-            return Broken(Reason.DEADLINE_EXPIRED, "no answer")
-        return self._ran(call, target, data)
+            return Broken(Reason.DEADLINE_EXPIRED, "no answer before the deadline")
+        return self._run_request(call, target, data)
 
-    def _ran(self, call, target, data):
-        """Run the request and bring its answer back, as far as it comes."""
+    def _run_request(self, call, target, data):
+        """Run a request at a target and return what the box receives."""
         world = self._world
         target.runs[call.call_id] += 1
         world.reach("await", box=self._box, target=target)
@@ -569,9 +609,11 @@
         if target.mode == "late":
             world.clock.advance(2.5)
         if world.clock() > call.deadline:
-            return Broken(Reason.DEADLINE_EXPIRED, "too late")
+            return Broken(Reason.DEADLINE_EXPIRED, "answer after the deadline")
         if target.mode == "drop-after":
-            return Broken(Reason.TARGET_BROKEN, "closed after it ran")
+            return Broken(
+                Reason.TARGET_BROKEN, "target closed the connection after it ran the request"
+            )
         world.reach("answer", box=self._box, target=target)
         status = 500 if target.mode == "fail" else 200
         answer = b"answer to " + call.call_id.encode() + data
@@ -581,7 +623,7 @@
 
 
 def first_changes(targets):
-    """Return the changes that make the tree of the world."""
+    """Return the changes that create the initial settings."""
     half = len(targets) // 2
     return [
         Change("/", "boxes_max", str(BOXES_MAX)),
