--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -270,7 +270,7 @@
 
 
 def _tell_no_peer(self, new):
-    self._publish()
+    self._update_digest()
 
 
 def _keep_nothing(self, request):
