--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -1,7 +1,7 @@
-"""Break each mechanism in turn and show that its proof goes red.
+"""Mutation tests: disable one mechanism at a time and check that a test detects it.
 
-``python -m tests.mutants`` (``make mutants``) exits 0 only if no break goes
-unseen; words given after it choose the mutants whose names hold one of them.
+``python -m tests.mutants`` (``make mutants``) exits with 0 only if every mutant is
+detected.  Arguments select the mutants whose names contain one of them.
 """
 
 from __future__ import annotations
@@ -54,38 +54,44 @@
 
 @dataclass(frozen=True)
 class Mutant:
-    """One mechanism broken.
+    """A mechanism and what replaces it.
 
     Parameters
     ----------
     name : str
+        What the mutated code does wrong.
     owner : object
+        The class or module that has the attribute.
     attribute : str
-    broken : object
+    replacement : object
     tests : str, optional
-        A test file that should see it; the fault matrix if left out.
+        A test file that must fail; the fault matrix if left out.
     """
 
     name: str
     owner: object
     attribute: str
-    broken: object
+    replacement: object
     tests: str = ""
 
 
-def _retry_anything(self, run, ended, settings):
-    return not ended.begun and ended.outcome is not Outcome.ANSWERED and len(run.tried) < 3
+def _retry_after_any_failure(self, run, call_result, settings):
+    return (
+        not call_result.begun and call_result.outcome is not Outcome.ANSWERED and len(run.tried) < 3
+    )
 
 
 _failure_result = Router._failure_result
 
 
-def _say_not_run(self, result, grant, pool):
-    ended = _failure_result(self, result, grant, pool)
-    return replace(ended, outcome=Outcome.NOT_RUN) if isinstance(result, Broken) else ended
+def _report_not_run(self, result, grant, pool):
+    call_result = _failure_result(self, result, grant, pool)
+    return (
+        replace(call_result, outcome=Outcome.NOT_RUN) if isinstance(result, Broken) else call_result
+    )
 
 
-def _discard_keeps(self, target, conn):
+def _release_instead(self, target, conn):
     self.release(target, conn)
 
 
@@ -93,31 +99,31 @@
     return True
 
 
-_poll = settings.SettingsFollower.poll
+_poll_settings = settings.SettingsFollower.poll
 
 
-def _follow_blindly(self):
+def _apply_lower_version(self):
     row = self._platform.read(settings.HEAD_KEY)
     version = settings._head_version(row)
     if version < self._holder.version:
         tree = self._holder.tree
         self._holder.tree = SettingsTree(version, tree.nodes, tree.changed, tree.edits[:version])
         self._holder._on_change(self._holder.tree)
-    return _poll(self)
+    return _poll_settings(self)
 
 
-def _drain_at_once(self, *, max_answer_lifetime):
-    _start(self, max_answer_lifetime=0.0)
+def _drain_without_wait(self, *, max_answer_lifetime):
+    _start_drain(self, max_answer_lifetime=0.0)
 
 
-_start = Drain.start
+_start_drain = Drain.start
 
 
-def _never_leaving(self, incarnation, *, leaving):
+def _ignore_leaving(self, incarnation, *, leaving):
     self.leaving = False
 
 
-def _held_for_ever(self, lease_count):
+def _ignore_expiry(self, lease_count):
     return self.lease is not None
 
 
@@ -125,19 +131,19 @@
     return True
 
 
-def _whole_budget(found):
-    return found.probe_rate
+def _full_rate(target_settings):
+    return target_settings.probe_rate
 
 
-def _never_ran_before(self, call):
+def _assume_not_run(self, call):
     return False
 
 
-def _claim_always(self, key, *, issued_at, window):
+def _grant_every_claim(self, key, *, issued_at, window):
     return Claim(ClaimStatus.RUN, KeyEntry(key, self._clock()))
 
 
-class _Any:
+class _EqualsAnything:
     """Equal to everything."""
 
     def __eq__(self, other):
@@ -147,32 +153,36 @@
         return 0
 
 
-def _anybodys_key(text):
+def _accept_any_key(text):
     key = parse_idempotency_key(text)
-    return None if key is None else IdempotencyKey(_Any(), _Any(), key.issued_ms, key.suffix)
+    return (
+        None
+        if key is None
+        else IdempotencyKey(_EqualsAnything(), _EqualsAnything(), key.issued_ms, key.suffix)
+    )
 
 
-def _own_word_only(self, version):
+def _unconfirmed_live_boxes(self, version):
     return tuple(r.name for r in self.live() if r.version < version)
 
 
-def _serve_cut_off(self):
+def _never_refuse(self):
     return None
 
 
-def _no_conflict(self, edit):
+def _no_conflicts(self, edit):
     return ()
 
 
-def _repeat_anything(self, run, kind, ended):
+def _retry_any_request(self, run, kind, ending):
     return not run.reply.begun and run.sends < 3
 
 
-def _anybodys_answer(self, head, request):
+def _match_any_answer(self, head, request):
     return Verdict.MATCHING
 
 
-def _no_promise_checked(self, head, request):
+def _trust_any_503(self, head, request):
     verdict = _classify(self, head, request)
     return Verdict.NOT_RUN if head.status == 503 else verdict
 
@@ -180,30 +190,30 @@
 _classify = WorkerDialect.classify
 
 
-def _leave_nothing(self, listed):
+def _never_retire(self, listed):
     return False
 
 
-def _since_without_floor(self, version, epoch=0):
+def _delta_without_floor(self, version, epoch=0):
     self._tombstone_floor = 0
-    return _since(self, version, epoch)
+    return _delta_since(self, version, epoch)
 
 
-_since = TableReplica.delta_since
+_delta_since = TableReplica.delta_since
 
 
-def _any_epoch(self, delta, *, at):
-    return _take_delta(self, replace(delta, epoch=self.epoch), at=at)
+def _apply_any_epoch(self, delta, *, at):
+    return _apply_delta(self, replace(delta, epoch=self.epoch), at=at)
 
 
-_take_delta = TableReplica.apply
+_apply_delta = TableReplica.apply
 
 
-def _keep_once(self):
+def _persist_once(self):
     return None
 
 
-def _never_renumber(self, word):
+def _never_renumber(self, heartbeat):
     return None
 
 
@@ -211,109 +221,109 @@
     return not self.pause_detector.catching_up and self.mesh.state != "starting"
 
 
-def _any_version(self, data, row_version):
+def _apply_any_version(self, data, row_version):
     self.table = self._parse(data)
     self._on_change(self.table)
 
 
-def _spend_freely(self, target=""):
+def _always_spend(self, target=""):
     return True
 
 
-def _nobody_reads(self):
+def _never_read(self):
     return False
 
 
-def _tell_nobody_far(self, words, *, follows):
+def _select_no_remote_peer(self, heartbeats, *, follows):
     return []
 
 
-def _told_on_as_new(self, by):
+def _forward_without_age(self, by):
     return self
 
 
-def _count_own_place(self, heartbeat):
+def _count_own_place_only(self, heartbeat):
     if heartbeat.place == self.place:
         self._box_counts[self.place] = self._known_counts[self.place] + 1
 
 
-def _impatient(self):
+def _stale_from_start(self):
     return any(self.age(table) > STALE_S for table in self._tables.values())
 
 
-def _never_behind(self, call):
+def _never_cancel(self, call):
     return None
 
 
-def _accept_anything(self, queue, instance, max_ratios, now):
+def _accept_any_target(self, queue, instance, max_ratios, now):
     return True
 
 
-def _learn_nothing(self, service, utilisation):
+def _no_slowdown(self, service, utilisation):
     return 1.0
 
 
-def _offer_nothing(self, queue, instance, probe_result):
+def _offer_no_target(self, queue, instance, probe_result):
     return False
 
 
-def _all_are_first(self):
+def _follow_if_unreadable(self):
     return not self.reading
 
 
-def _keep_lapsed(self, keys):
+def _always_mass_disappearance(self, keys):
     return True
 
 
-def _bar_nothing(self, tracked):
+def _quarantine_nothing(self, tracked):
     return 0.0
 
 
-def _tell_no_peer(self, new):
+def _send_no_crash_report(self, new):
     self._update_digest()
 
 
-def _keep_nothing(self, request):
+def _persist_nothing(self, request):
     self._to_keep.discard(request)
 
 
-def _all_at_once_count(self):
+def _count_every_crash(self):
     return len(self.targets)
 
 
-def _never_catch_up(self):
+def _never_catching_up(self):
     return False
 
 
-def _forget_starts(self):
+def _order_by_sequence(self):
     return (0, self.sequence)
 
 
-def _grant_no_rest(self, instance, until):
+def _ignore_backoff(self, instance, until):
     pass
 
 
-def _hear_no_leaving(self, instance):
+def _ignore_leaving_report(self, instance):
     return False
 
 
-def _blame_nobody(self, instance, said, now):
+def _ignore_refusal(self, instance, status, now):
     pass
 
 
-def _rest_is_no_reason(self, service, now):
+def _no_backoff_left(self, service, now):
     return 0.0
 
 
-def _any_number_of_tries(self, run, kind, ended):
+def _retry_without_limit(self, run, kind, ending):
     return not run.reply.begun and run.body.resendable and not run.may_have_run
 
 
-def _more_time(self, request, *, remaining, instance):
-    return _REQUEST_HEADERS(self, request, remaining=remaining + 3.0, instance=instance)
+def _send_longer_limit(self, request, *, remaining, instance):
+    return _request_headers(self, request, remaining=remaining + 3.0, instance=instance)
 
 
-_REQUEST_HEADERS = WorkerDialect.request_headers
+_request_headers = WorkerDialect.request_headers
 
 ENTRY, SHARES = "tests/test_entry.py", "tests/test_shares.py"
 CRASHING, CRASH_GOSSIP = "tests/test_crashing.py", "tests/test_crash_gossip.py"
@@ -321,143 +331,197 @@
 BACKOFF, LEAVING = "tests/test_backoff.py", "tests/test_leaving_targets.py"
 
 MUTANTS = (
-    Mutant("repeat what may run once", Forwarder, "_may_retry", _repeat_anything, ENTRY),
-    Mutant("take any answer for one's own", WorkerDialect, "classify", _anybodys_answer, ENTRY),
-    Mutant("promise for a bare 503", WorkerDialect, "classify", _no_promise_checked, ENTRY),
-    Mutant("bar no request", CrashGuard, "quarantine_left", _bar_nothing, CRASHING),
-    Mutant("tell no peer what ended targets", CrashGossip, "_changed", _tell_no_peer, CRASH_GOSSIP),
-    Mutant("keep no bar in the store", CrashGossip, "_keep", _keep_nothing, CRASH_GOSSIP),
-    Mutant(
-        "count targets that ended at once",
+    Mutant(
+        "retry a request that may run only once", Forwarder, "_may_retry", _retry_any_request, ENTRY
+    ),
+    Mutant(
+        "accept an answer to another request", WorkerDialect, "classify", _match_any_answer, ENTRY
+    ),
+    Mutant("trust any 503 as not run", WorkerDialect, "classify", _trust_any_503, ENTRY),
+    Mutant("quarantine no request", CrashGuard, "quarantine_left", _quarantine_nothing, CRASHING),
+    Mutant(
+        "send no crash report to peers",
+        CrashGossip,
+        "_changed",
+        _send_no_crash_report,
+        CRASH_GOSSIP,
+    ),
+    Mutant(
+        "write no quarantine to the store", CrashGossip, "_keep", _persist_nothing, CRASH_GOSSIP
+    ),
+    Mutant(
+        "count simultaneous crashes separately",
         CrashRecord,
         "consecutive_crashes",
-        property(_all_at_once_count),
+        property(_count_every_crash),
         "tests/test_crashes.py",
     ),
     Mutant(
-        "act at once on waking",
+        "act at once after a pause",
         PauseDetector,
         "catching_up",
-        property(_never_catch_up),
+        property(_never_catching_up),
         "tests/test_pause_detector.py",
     ),
     Mutant(
-        "take starts for one",
+        "compare rows of a target without its start",
         ListedTarget,
         "order",
-        property(_forget_starts),
+        property(_order_by_sequence),
         "tests/test_instances.py",
     ),
-    Mutant("grant no rest", InstanceList, "back_off", _grant_no_rest, BACKOFF),
+    Mutant("ignore a requested back-off", InstanceList, "back_off", _ignore_backoff, BACKOFF),
     Mutant(
-        "let all wait though all back off",
+        "queue requests although all targets back off",
         InstanceList,
         "backoff_left",
-        _rest_is_no_reason,
+        _no_backoff_left,
         BACKOFF,
     ),
-    Mutant("hear no target say it leaves", InstanceList, "retire", _hear_no_leaving, LEAVING),
     Mutant(
-        "eject no target that refuses",
+        "ignore that a target reports leaving",
+        InstanceList,
+        "retire",
+        _ignore_leaving_report,
+        LEAVING,
+    ),
+    Mutant(
+        "ignore refusals of an idle target",
         FreshReportChooser,
         "record_refusal",
-        _blame_nobody,
+        _ignore_refusal,
         BACKOFF,
     ),
-    Mutant("try any number of targets", Forwarder, "_may_retry", _any_number_of_tries, ENTRY),
-    Mutant("give targets three seconds more", WorkerDialect, "request_headers", _more_time, ENTRY),
-    Mutant("let no target leave", InstanceList, "_retire", _leave_nothing, ENTRY),
     Mutant(
-        "tell a peer only what one saw",
+        "retry without a limit of attempts", Forwarder, "_may_retry", _retry_without_limit, ENTRY
+    ),
+    Mutant(
+        "send targets a time limit that is 3 s too long",
+        WorkerDialect,
+        "request_headers",
+        _send_longer_limit,
+        ENTRY,
+    ),
+    Mutant("never remove a leaving target", InstanceList, "_retire", _never_retire, ENTRY),
+    Mutant(
+        "send a delta where a snapshot is needed",
         TableReplica,
         "delta_since",
-        _since_without_floor,
+        _delta_without_floor,
         "tests/test_table_replica.py",
     ),
     Mutant(
-        "go back to older settings",
+        "apply older settings",
         ActiveRoutes,
         "_apply_document",
-        _any_version,
+        _apply_any_version,
         "tests/test_store_tables.py",
     ),
     Mutant(
-        "keep a row that vanished alone",
+        "treat every missing row as a mass disappearance",
         TargetListing,
         "_is_mass_disappearance",
-        _keep_lapsed,
+        _always_mass_disappearance,
         "tests/test_store_tables.py",
     ),
-    Mutant("probe without a budget", ProbeShare, "try_spend", _spend_freely, SHARES),
-    Mutant("repeat without a budget", RetryShare, "try_spend", _spend_freely, SHARES),
-    Mutant("leave the store to others", Mesh, "is_reader", _nobody_reads, "tests/test_mesh.py"),
-    Mutant("tell no other place", PeerSelector, "remote", _tell_nobody_far, PEER_SELECTOR),
-    Mutant("take a word told on for a new one", Heartbeat, "aged", _told_on_as_new, PEER_SELECTOR),
+    Mutant("probe without a budget", ProbeShare, "try_spend", _always_spend, SHARES),
+    Mutant("retry without a budget", RetryShare, "try_spend", _always_spend, SHARES),
+    Mutant("read the store on no box", Mesh, "is_reader", _never_read, "tests/test_mesh.py"),
     Mutant(
-        "count the boxes of the own place",
+        "send no heartbeat to other places",
+        PeerSelector,
+        "remote",
+        _select_no_remote_peer,
+        PEER_SELECTOR,
+    ),
+    Mutant(
+        "forward a heartbeat without its age",
+        Heartbeat,
+        "aged",
+        _forward_without_age,
+        PEER_SELECTOR,
+    ),
+    Mutant(
+        "count only the boxes of its own place",
         Mesh,
         "_update_box_counts",
-        _count_own_place,
+        _count_own_place_only,
         PEER_SELECTOR,
     ),
-    Mutant("all read the store at the start", Mesh, "stale", _impatient, "tests/test_mesh.py"),
     Mutant(
-        "trust a call that hangs",
+        "read the store on all boxes at the start",
+        Mesh,
+        "stale",
+        _stale_from_start,
+        "tests/test_mesh.py",
+    ),
+    Mutant(
+        "wait for a store poll that hangs",
         TableFollower,
         "_cancel_if_behind",
-        _never_behind,
+        _never_cancel,
         "tests/test_following.py",
     ),
     Mutant(
-        "send what can't end in time", TargetSelector, "_is_acceptable", _accept_anything, ENTRY
+        "select a target that can't answer in time",
+        TargetSelector,
+        "_is_acceptable",
+        _accept_any_target,
+        ENTRY,
     ),
-    Mutant("send to targets found full", Saturation, "admission_share", 1.0, SELECTOR),
+    Mutant("admit all requests to saturated targets", Saturation, "admission_share", 1.0, SELECTOR),
     Mutant(
-        "offer no target to waiting requests", TargetSelector, "_offer", _offer_nothing, SELECTOR
+        "offer no target to waiting requests", TargetSelector, "_offer", _offer_no_target, SELECTOR
     ),
     Mutant(
-        "learn nothing of utilisation",
+        "ignore that utilisation slows targets down",
         LatencyModel,
         "slowdown",
-        _learn_nothing,
+        _no_slowdown,
         "tests/test_latency_model.py",
     ),
     Mutant(
-        "read on through a store that went back",
+        "apply a delta of another store epoch",
         TableReplica,
         "apply",
-        _any_epoch,
+        _apply_any_epoch,
         "tests/test_table_replica.py",
     ),
     Mutant(
-        "keep a bar in the store only once",
+        "write a quarantine to the store only once",
         CrashGossip,
         "_keep_again",
-        _keep_once,
+        _persist_once,
         "tests/test_crash_gossip.py",
     ),
     Mutant(
-        "hold to the number of a start",
+        "never raise the incarnation of a start",
         Mesh,
         "_renumber_start",
         _never_renumber,
         "tests/test_mesh.py",
     ),
     Mutant(
-        "say ready while stopping",
+        "report ready while stopping",
         EntryBox,
         "ready",
         property(_ready_while_stopping),
         ENTRY,
     ),
-    Mutant("all follow what nobody can read", Mesh, "is_follower", _all_are_first, PEER_SELECTOR),
-    Mutant("retry a loan after it was sent", Router, "_may_retry", _retry_anything),
-    Mutant("say not run of a broken attempt", Router, "_failure_result", _say_not_run),
+    Mutant(
+        "follow the store on all boxes that can't read it",
+        Mesh,
+        "is_follower",
+        _follow_if_unreadable,
+        PEER_SELECTOR,
+    ),
+    Mutant("retry a loan after it was sent", Router, "_may_retry", _retry_after_any_failure),
+    Mutant("report a broken attempt as not run", Router, "_failure_result", _report_not_run),
     Mutant(
         "reuse a connection that timed out",
         ConnectionPools,
         "discard",
-        _discard_keeps,
+        _release_instead,
         "tests/test_targets.py",
     ),
     Mutant(
@@ -467,48 +531,64 @@
         _always_usable,
         "tests/test_targets.py",
     ),
-    Mutant("accept a lower version", settings.SettingsFollower, "poll", _follow_blindly),
-    Mutant("drain without waiting for callers", Drain, "start", _drain_at_once),
-    Mutant("ignore that a target leaves", TargetRecord, "record_state", _never_leaving),
-    Mutant("skip the expiry of a lease", probe_leases.ProbeLeaseHolder, "held", _held_for_ever),
     Mutant(
-        "take a lease before it expired", probe_leases.ProbeLeaseHolder, "_is_free", _always_free
+        "apply a lower settings version", settings.SettingsFollower, "poll", _apply_lower_version
+    ),
+    Mutant("drain without waiting for callers", Drain, "start", _drain_without_wait),
+    Mutant("ignore leaving in a target record", TargetRecord, "record_state", _ignore_leaving),
+    Mutant(
+        "ignore the expiry of a probe lease", probe_leases.ProbeLeaseHolder, "held", _ignore_expiry
     ),
-    Mutant("ignore the share of the budget", probes, "probes_per_second", _whole_budget),
-    Mutant("forget once-keys", IdempotencyLedger, "claim", _claim_always),
     Mutant(
-        "run a key of another box",
+        "acquire a probe lease before it expired",
+        probe_leases.ProbeLeaseHolder,
+        "_is_free",
+        _always_free,
+    ),
+    Mutant("probe with the whole budget on each box", probes, "probes_per_second", _full_rate),
+    Mutant("forget idempotency keys", IdempotencyLedger, "claim", _grant_every_claim),
+    Mutant(
+        "run a request with another box's key",
         idempotency,
         "parse_idempotency_key",
-        _anybodys_key,
+        _accept_any_key,
     ),
     Mutant(
-        "say not run of an earlier copy",
+        "report an earlier copy as not run",
         idempotency.IdempotencyGuard,
         "may_have_run",
-        _never_ran_before,
+        _assume_not_run,
+    ),
+    Mutant(
+        "accept an edit without the silent boxes",
+        Membership,
+        "unconfirmed_boxes",
+        _unconfirmed_live_boxes,
     ),
-    Mutant("accept without the silent boxes", Membership, "unconfirmed_boxes", _own_word_only),
     Mutant(
         "serve while cut off",
         WorkGate,
         "refusal",
-        _serve_cut_off,
+        _never_refuse,
         "tests/test_membership.py",
     ),
     Mutant(
-        "overwrite a racing edit", SettingsTree, "conflicts", _no_conflict, "tests/test_settings.py"
+        "overwrite a concurrent edit",
+        SettingsTree,
+        "conflicts",
+        _no_conflicts,
+        "tests/test_settings.py",
     ),
 )
 
 
-def seen(mutant):
-    """Return what saw the mutant, or None."""
-    with mock.patch.object(mutant.owner, mutant.attribute, mutant.broken):
+def find_failure(mutant):
+    """Return the test file or the matrix cell that fails with the mutant; None if none does."""
+    with mock.patch.object(mutant.owner, mutant.attribute, mutant.replacement):
         if mutant.tests:
             with contextlib.redirect_stdout(io.StringIO()):
-                code = pytest.main(["-x", "-p", "no:cacheprovider", mutant.tests])
-            return mutant.tests if code == pytest.ExitCode.TESTS_FAILED else None
+                exit_code = pytest.main(["-x", "-p", "no:cacheprovider", mutant.tests])
+            return mutant.tests if exit_code == pytest.ExitCode.TESTS_FAILED else None
         for cell in list_cells():
             violations, _ = run_cell(cell)
             if violations:
@@ -517,15 +597,15 @@
 
 
 def main(words):
-    """Try each mutant; return 1 if one went unseen."""
+    """Run the selected mutants; return 1 if one is not detected."""
     logging.disable(logging.CRITICAL)
-    unseen = 0
-    chosen = [m for m in MUTANTS if not words or any(word in m.name for word in words)]
-    for mutant in chosen:
-        by = seen(mutant)
-        unseen += by is None
-        print(f"{'seen  ' if by else 'UNSEEN'} {mutant.name}: {by}", flush=True)
-    return 1 if unseen else 0
+    unseen_count = 0
+    selected = [m for m in MUTANTS if not words or any(word in m.name for word in words)]
+    for mutant in selected:
+        failure = find_failure(mutant)
+        unseen_count += failure is None
+        print(f"{'seen  ' if failure else 'UNSEEN'} {mutant.name}: {failure}", flush=True)
+    return 1 if unseen_count else 0
 
 
 if __name__ == "__main__":
