--- a/tests/matrix.py
+++ b/tests/matrix.py
@@ -250,7 +250,7 @@
         if target.senders_while_leaving:
             senders = ", ".join(target.senders_while_leaving)
             violations.append(
-                f"{target.address} got new requests from {senders} although it reported leaving"
+                f"{target.address} got new requests from {senders} long after it reported leaving"
             )
     for request in world.requests:
         violations += _find_request_violations(request, runs[request.request_id])
