--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Fixed seeds for property tests, and one system of processes for all tests."""
+"""Settings of all tests: reproducible property tests, known failures and a shared fleet."""
 
 from pathlib import Path
 
@@ -19,20 +19,20 @@
 
 
 def pytest_collection_modifyitems(items):
-    """Pass over the tests that are known to fail."""
+    """Mark the tests listed in ``KNOWN-RED.txt`` as expected to fail."""
     mark_known_red(items, read_known_red(KNOWN_RED))
 
 
 def pytest_terminal_summary(terminalreporter):
-    """Print the tests that are known to fail, and whether they still do."""
-    for outcome, verdict in (("xfailed", "still red"), ("xpassed", "passes now: take it off")):
+    """Print the listed tests that ran, and whether they still fail."""
+    for outcome, status in (("xfailed", "still fails"), ("xpassed", "passes now; remove its line")):
         for report in terminalreporter.stats.get(outcome, ()):
-            terminalreporter.write_line(f"KNOWN-RED {report.nodeid}: {verdict}")
+            terminalreporter.write_line(f"KNOWN-RED {report.nodeid}: {status}")
 
 
 @pytest.fixture(scope="session")
 def fleet(tmp_path_factory):
-    """Two boxes in two places, two targets of one service."""
+    """Two boxes in two places, and two targets of one service."""
     with Fleet(tmp_path_factory.mktemp("fleet")) as fleet:
         fleet.start_platform()
         targets = fleet.start_targets(2)
@@ -50,11 +50,11 @@
 
 @pytest.fixture
 def set_target_faults(fleet):
-    """Put the same faults in force at all targets, until the test ends."""
+    """Return a function that sets the faults of all targets; they end with the test."""
 
-    def put(fault):
+    def set_faults(target_faults):
         for index in range(len(fleet.targets)):
-            fleet.set_target(index, fault)
+            fleet.set_target(index, target_faults)
 
-    yield put
-    put(TargetFaults())
+    yield set_faults
+    set_faults(TargetFaults())
