--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -29,7 +29,7 @@
 
 
 class FakePlatform:
-    """The stand-in's store without a socket; faults as in the stand-in."""
+    """A platform client that calls the stand-in's store directly instead of over a socket."""
 
     def __init__(self, store: Store | None = None) -> None:
         self.store = store or Store()
@@ -37,41 +37,46 @@
     def set_faults(self, faults: PlatformFaults) -> None:
         self.store.set_faults(faults)
 
-    def _up(self) -> None:
+    def _raise_if_down(self) -> None:
         if self.store.faults.down:
-            raise PlatformUnavailableError("down")
+            raise PlatformUnavailableError("platform is down")
 
     def read(self, key: str) -> Row | None:
-        self._up()
+        self._raise_if_down()
         return self.store.read(key)
 
     def scan(self, prefix: str, *, after: str, limit: int) -> list[Row]:
-        self._up()
+        self._raise_if_down()
         return self.store.scan(prefix, after, limit)
 
     def transact(self, transaction: Transaction) -> TransactResult:
-        self._up()
+        self._raise_if_down()
         result = self.store.transact(transaction)
         if self.store.lose_this_answer():
             raise PlatformUnavailableError("answer lost")
         return result
 
     def get_object(self, name: str) -> bytes | None:
-        self._up()
+        self._raise_if_down()
         return self.store.objects.get(name)
 
     def put_object(self, name: str, data: bytes) -> None:
-        self._up()
+        self._raise_if_down()
         self.store.objects[name] = data
 
     def list_boxes(self) -> list[ListedBox]:
-        self._up()
+        self._raise_if_down()
         return list(self.store.shown_boxes)
 
 
 @dataclass(frozen=True)
 class EditMaker:
-    """Makes edits with ids of their own."""
+    """Creates edits of one setting by one author.
+
+    Parameters
+    ----------
+    author : str, default "anna"
+    """
 
     author: str = "anna"
 
@@ -80,7 +85,7 @@
 
 
 def box_row(name: str, **changes: object) -> BoxRow:
-    """Return a row of a box with usual values."""
+    """Return the row of a running box; ``changes`` replace single fields."""
     row = BoxRow(
         name=name,
         incarnation=1,
