--- a/tests/test_goodput.py
+++ b/tests/test_goodput.py
@@ -1,4 +1,4 @@
-"""Goodput past the capacity, and after it, on virtual time (``benchmarks/goodput.py``)."""
+"""Targets stay useful during an overload and recover after it, on virtual time."""
 
 from __future__ import annotations
 
@@ -10,26 +10,27 @@
 
 
 @pytest.fixture(autouse=True)
-def quiet():
+def disable_logging():
     logging.disable(logging.CRITICAL)
     yield
     logging.disable(logging.NOTSET)
 
 
-#: What twice the capacity must leave, as a multiple of it.  While nothing tried what nearly
-#: full targets cost, the second, fourth and fifth left 0.43, 0.36 and 0.30.
-LEAST = (0.38, 0.44, 0.16, 0.43, 0.33)
+#: Minimum goodput of each model at twice the capacity, as a multiple of the capacity.
+MIN_GOODPUT = (0.38, 0.44, 0.16, 0.43, 0.33)
 
 
 @pytest.mark.parametrize(
-    ("model", "least"), list(zip(MODELS, LEAST, strict=True)), ids=[model.name for model in MODELS]
+    ("model", "min_goodput"),
+    list(zip(MODELS, MIN_GOODPUT, strict=True)),
+    ids=[model.name for model in MODELS],
 )
-def test_twice_the_load_that_targets_can_take_leaves_them_useful(model, least):
-    assert goodput(model, 2.0, seed=1, seconds=4.0) > least
+def test_goodput_at_twice_the_capacity_is_above_the_minimum(model, min_goodput):
+    assert goodput(model, 2.0, seed=1, seconds=4.0) > min_goodput
 
 
 @pytest.mark.parametrize("model", MODELS, ids=lambda model: model.name)
-def test_two_seconds_after_an_overload_nearly_all_is_in_time_again(model):
+def test_two_seconds_after_an_overload_nine_in_ten_requests_are_in_time(model):
     stretches = play(model, [(0.4, 1.0), (2.5, 3.0), (0.4, 4.0)], seed=1, every=0.5)
     after = [stretch for begun, stretch in stretches if begun >= 6.0]
     offered = sum(stretch.offered for stretch in after)
