--- a/tests/test_pages.py
+++ b/tests/test_pages.py
@@ -1,3 +1,5 @@
+"""Generated pages are current, and pages name only codes, files and examples that work."""
+
 import re
 from pathlib import Path
 
@@ -14,14 +16,14 @@
     assert (DOCS / name).read_text(encoding="utf-8") == PAGES[name]()
 
 
-def codes():
-    found = [reason.value for reason in Reason]
+def list_codes():
+    reasons = [reason.value for reason in Reason]
     classes = [c for c in vars(errors).values() if isinstance(c, type)]
-    return found + sorted({c.code for c in classes if issubclass(c, errors.DunlinnotchError)})
+    return reasons + sorted({c.code for c in classes if issubclass(c, errors.DunlinnotchError)})
 
 
-@pytest.mark.parametrize("code", codes())
-def test_every_code_has_its_remedy_in_the_operators_page(code):
+@pytest.mark.parametrize("code", list_codes())
+def test_every_code_is_listed_in_the_operations_page(code):
     assert f"| `{code}` |" in (DOCS / "OPERATIONS.md").read_text(encoding="utf-8")
 
 
@@ -30,17 +32,17 @@
     assert f"| {status.value} |" in (DOCS / "OPERATIONS.md").read_text(encoding="utf-8")
 
 
-def test_example_for_embedding_runs():
+def test_the_embedding_example_runs():
     text = (DOCS / "EMBEDDING.md").read_text(encoding="utf-8")
     blocks = re.findall(r"```python\n(.*?)```", text, re.DOTALL)
     assert blocks
-    names = {}
+    namespace = {}
     for block in blocks:
-        exec(compile(block, "EMBEDDING.md", "exec"), names)
-    assert names["result"].status == "accepted"
+        exec(compile(block, "EMBEDDING.md", "exec"), namespace)
+    assert namespace["result"].status == "accepted"
 
 
-def test_pages_hold_no_link_to_a_file_that_is_not_there():
+def test_pages_link_only_to_existing_files():
     for page in [*DOCS.glob("**/*.md"), Path(DOCS.parent / "README.md")]:
         for link in re.findall(r"\]\(([^)#:]+\.md)\)", page.read_text(encoding="utf-8")):
             assert (page.parent / link).exists(), f"{page.name}: {link}"
