--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -14,7 +14,7 @@
 from tests.world import Request, World
 
 MODES = (
-    "well",
+    "healthy",
     "refuse",
     "gone",
     "drop-before",
@@ -41,22 +41,22 @@
     def new_loan(self):
         request = Request(f"m{len(self.world.requests)}", "loan")
         self.world.requests.append(request)
-        listing = self.world.ask()
+        listing = self.world.request_addresses()
         entry = listing.addresses[0] if listing else None
-        self.keys[request.mark] = entry
+        self.keys[request.request_id] = entry
         return request
 
     @rule(request=requests, box=st.sampled_from(["box-0", "box-1", "own"]))
     def send(self, request, box):
-        entry = self.keys[request.mark]
+        entry = self.keys[request.request_id]
         if entry is not None:
             where = entry.box if box == "own" else box
-            self.world.send(request, where, entry.once_stem + request.mark)
+            self.world.send(request, where, entry.once_stem + request.request_id)
 
     @rule(mode=st.sampled_from(MODES), which=st.integers(0, 3))
     def fault(self, mode, which):
         target = list(self.world.targets.values())[which]
-        target.thaw()
+        target.unfreeze()
         target.mode = mode
 
     @rule(name=st.sampled_from(["box-0", "box-1"]))
@@ -73,7 +73,7 @@
             world.kill(box)
 
         if name in self.world.boxes:
-            self.world.at(step, kill)
+            self.world.add_hook(step, kill)
 
     @rule(seconds=st.sampled_from([0.5, 5.0, 700.0]))
     def advance_time(self, seconds):
@@ -84,19 +84,19 @@
 
     @rule(name=st.sampled_from(["box-0", "box-1"]))
     def cut_off(self, name):
-        self.world.cut.add(name)
+        self.world.cut_from_peers.add(name)
         self.world.cut_from_table.add(name)
 
     @rule()
     def join(self):
-        self.world.cut.clear()
+        self.world.cut_from_peers.clear()
         self.world.cut_from_table.clear()
 
     @invariant()
     def no_loan_runs_twice_or_runs_after_all_attempts_reported_not_run(self):
         for request in self.world.requests:
-            runs = sum(t.runs[request.mark] for t in self.world.targets.values())
-            held = sum(request.mark in t.held for t in self.world.targets.values())
+            runs = sum(t.runs[request.request_id] for t in self.world.targets.values())
+            held = sum(request.request_id in t.held_requests for t in self.world.targets.values())
             assert runs + held <= 1
             if request.outcomes and set(request.outcomes) == {Outcome.NOT_RUN}:
                 assert runs + held == 0
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -6,7 +6,7 @@
 from dunlinnotch.standins.platform import PlatformFaults
 from dunlinnotch.state.schema import RunState
 from dunlinnotch.state.tree import Change, Edit
-from tests.matrix import check, setup
+from tests.matrix import find_violations, setup
 from tests.world import BOXES_MAX, CUT_OFF_S, LEASE_S, World
 
 
@@ -23,7 +23,7 @@
 
 def assert_recovered(world):
     world.heal()
-    assert check(world) == []
+    assert find_violations(world) == []
 
 
 def test_boxes_replaced_one_by_one_during_a_table_outage_keep_the_settings(world):
@@ -78,7 +78,7 @@
     assert_recovered(world)
 
 
-@pytest.mark.parametrize("fault", ["cut", "deaf"])
+@pytest.mark.parametrize("fault", ["cut_from_peers", "not_receiving"])
 def test_an_isolated_box_stops_in_time_and_no_edit_is_accepted_before(world, fault):
     getattr(world, fault).add("box-1")
     world.cut_from_table.add("box-1")
@@ -148,7 +148,7 @@
     world.start_box("box-2", "hall-a")
     for _ in range(6):
         world.call("lookup")
-    assert target.told_at is not None
+    assert target.leaving_reported_at is not None
     for _ in range(3):
         world.tick()
     for core in world.boxes.values():
@@ -162,7 +162,7 @@
     world.start_box("box-3", "hall-b")
     world.list_boxes()
     world.tick()
-    world.split = {"box-1", "box-3"}
+    world.second_partition = {"box-1", "box-3"}
     world.cut_from_table = {"box-1", "box-3"}
     assert world.edit("box-0", Change("hall-a", "rank", "3"), rounds=20) is EditStatus.PENDING
     assert rank(world) == {"box-0": 3, "box-1": 5, "box-2": 3, "box-3": 5}
