--- a/dunlinnotch/coordination/membership/mesh.py
+++ b/dunlinnotch/coordination/membership/mesh.py
@@ -209,7 +209,7 @@
             if table is None or not table.loaded or state.age_ms < 0:
                 continue
             at = now - state.age_ms / 1000
-            table.confirm(state.changed, state.version, at=at, epoch=state.era)
+            table.confirm(state.changed, state.version, at=at, epoch=state.epoch)
 
     def newer_tables(self, heartbeat: Heartbeat) -> list[str]:
         """Return the names of tables of which the sender has a newer version."""
@@ -218,7 +218,7 @@
             table = self._tables.get(name)
             if table is None or state.age_ms < 0:
                 continue
-            if (state.era, state.changed) > (table.epoch, table.version) or not table.loaded:
+            if (state.epoch, state.changed) > (table.epoch, table.version) or not table.loaded:
                 newer.append(name)
         return newer
 
--- a/dunlinnotch/protocol/mesh.py
+++ b/dunlinnotch/protocol/mesh.py
@@ -37,14 +37,14 @@
         The copy is complete up to ``version``; its last row changed at ``changed``.
     age_ms : int
         Milliseconds since the copy was known to be current; -1 if it never was.
-    era : int, default 0
+    epoch : int, default 0
         Epoch of the store that the versions belong to.
     """
 
     version: int
     changed: int
     age_ms: int
-    era: int = 0
+    epoch: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -125,7 +125,7 @@
 
 def pack_heartbeat(heartbeat: Heartbeat) -> bytes:
     """Return a heartbeat as bytes; several may be concatenated."""
-    tables = {n: [t.version, t.changed, t.age_ms, t.era] for n, t in heartbeat.tables.items()}
+    tables = {n: [t.version, t.changed, t.age_ms, t.epoch] for n, t in heartbeat.tables.items()}
     fields = [
         _HEARTBEAT_FORMAT,
         heartbeat.name,
@@ -218,9 +218,9 @@
     try:
         rows = tuple(TableRow(str(k), int(v), _value(value)) for k, v, value in fields["r"])
         changed = int(fields["c"])
-        era = None if fields["e"] is None else int(fields["e"])
+        epoch = None if fields["e"] is None else int(fields["e"])
         delta = TableDelta(
-            str(fields["t"]), int(fields["v"]), bool(fields["w"]), rows, changed, era
+            str(fields["t"]), int(fields["v"]), bool(fields["w"]), rows, changed, epoch
         )
         return delta, int(fields["a"])
     except (KeyError, ValueError, TypeError) as error:
