--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -205,8 +205,10 @@
             self.crashes, self._target_client, publish=self.crash_gossip.publish
         )
         self.probes = ProbeShare(settings.probes_per_s, clock=clock)
-        self.work_times = LatencyModel()
-        chooser = FreshReportChooser(place=settings.place, latency_model=self.work_times, rng=rng)
+        self.latency_model = LatencyModel()
+        chooser = FreshReportChooser(
+            place=settings.place, latency_model=self.latency_model, rng=rng
+        )
         self.selector = TargetSelector(
             instances=self.instances,
             chooser=chooser,
@@ -222,7 +224,7 @@
             catching_up=lambda: self.pause_detector.catching_up,
             instances=self.instances,
             chooser=chooser,
-            latency_model=self.work_times,
+            latency_model=self.latency_model,
             selector=self.selector,
             make_retry_share=self._make_retry_share,
             guard=self._crash_guard,
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -264,13 +264,13 @@
             box = world.boxes[0]
             await until(lambda: box.instances.for_service("loans"))
             assert (await call(box, "/lend/", "first", method="POST", body=b"x")).status == 200
-            usual = box.work_times.usual_latency("lend")
+            usual = box.latency_model.usual_latency("lend")
             worker.settings.work_s = 0.0
             worker.settings.faults = [fault] * 3
             for number in range(3):
                 answer = await call(box, "/lend/", f"f{number}", method="POST", body=b"x")
                 assert answer.status >= 500
-            assert box.work_times.usual_latency("lend") == usual >= 0.05
+            assert box.latency_model.usual_latency("lend") == usual >= 0.05
 
     run(test)
 
