--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -233,7 +233,7 @@
             rng=rng,
         )
         self.limits = ServerLimits()
-        self._front = StreamServer(self._serve, limits=self.limits)
+        self._caller_server = StreamServer(self._serve, limits=self.limits)
         self._servers: list[StreamServer] = []
         self._tasks: set[asyncio.Task[None]] = set()
         self.refusing = False
@@ -243,7 +243,7 @@
         """Serve until SIGTERM, SIGINT or :meth:`request_stop`."""
         for signal_number in (signal.SIGTERM, signal.SIGINT):
             self._loop.add_signal_handler(signal_number, self._stop_requested.set)
-        await self._front.listen(self._settings.caller)
+        await self._caller_server.listen(self._settings.caller)
         await self.gossip.listen(self._settings.peer)
         event(
             _log,
@@ -354,19 +354,19 @@
         event(_log, "stopping", box=self.mesh.name, in_flight=self.forwarder.in_flight)
         self.mesh.state = DRAINING
         self.gossip.announce_state()
-        self._front.keep_alive_disabled = True
+        self._caller_server.keep_alive_disabled = True
         await asyncio.sleep(plan.refuse)
         self.refusing = True
         await asyncio.sleep(plan.close - plan.refuse)
-        self._front.stop_listening()
-        self._front.close_idle()
+        self._caller_server.stop_listening()
+        self._caller_server.close_idle()
         while self.forwarder.in_flight and self._loop.time() - started_at < plan.end:
             await asyncio.sleep(_MAINTENANCE_INTERVAL_S / 2)
         unfinished = self.forwarder.in_flight
         # Callers whose target has not answered get an error instead of a closed connection.
         self.forwarder.cancel_all()
         await asyncio.sleep(plan.flush)
-        for server in (self._front, *self._servers):
+        for server in (self._caller_server, *self._servers):
             await server.close()
         self.gossip.close()
         event(_log, "stopped", box=self.mesh.name, given_up=unfinished)
