--- a/dunlinnotch/protocol/attempt.py
+++ b/dunlinnotch/protocol/attempt.py
@@ -96,7 +96,7 @@
 
     @property
     def replayable(self) -> bool:
-        """Whether :meth:`chunks` may be called (again) from the start."""
+        """Whether :meth:`chunks` can yield the body from its start, for the first time or again."""
 
 
 class ReplySink(Protocol):
--- a/dunlinnotch/protocol/crashes.py
+++ b/dunlinnotch/protocol/crashes.py
@@ -47,7 +47,14 @@
     targets: dict[str, ReportedSpan]
 
     def counted_from(self, moment_ms: int) -> CrashReport:
-        """Replace each time by its distance to a moment: ages by moments, or the reverse."""
+        """Return the report with each time subtracted from ``moment_ms``.
+
+        Parameters
+        ----------
+        moment_ms : int
+            Present time of a clock in milliseconds.  Ages become times of that clock, and
+            times of that clock become ages.
+        """
         spans = {
             target: ReportedSpan(moment_ms - span.began, moment_ms - span.ended)
             for target, span in self.targets.items()
--- a/dunlinnotch/protocol/http.py
+++ b/dunlinnotch/protocol/http.py
@@ -114,15 +114,15 @@
     reserved : frozenset of str
         Lower-case names that the box sets itself.
     """
-    named = list(headers)
+    header_list = list(headers)
     hop_by_hop_tokens = {
         token.strip().lower()
-        for header in named
+        for header in header_list
         if header.name.lower() == "connection"
         for token in header.value.split(",")
     }
     dropped = HOP_BY_HOP | reserved | hop_by_hop_tokens | {"content-length"}
-    return tuple(header for header in named if header.name.lower() not in dropped)
+    return tuple(header for header in header_list if header.name.lower() not in dropped)
 
 
 def refusal_headers(result: CallResult) -> tuple[Header, ...]:
--- a/dunlinnotch/protocol/operator.py
+++ b/dunlinnotch/protocol/operator.py
@@ -58,12 +58,20 @@
 
     Parameters
     ----------
+    version : int
+        Active settings version.
+    in_flight : int
+        Calls accepted and not completed.
+    table_age_s : float or None
+        Seconds since the box last read the table; ``None`` if it never did.
     refusing : str or None
         Why the box accepts no new calls; ``None`` if it does.
     links : tuple of str
         Peers that this box has opened links to.
     peer_bytes : int
         Bytes sent to peers since the box started.
+    rows : tuple of BoxRow
+        Newest row of each box that this box knows, its own included.
     """
 
     box: str
@@ -80,7 +88,7 @@
 @wire
 @dataclass(frozen=True, slots=True)
 class EffectiveValue:
-    """One effective value and the settings node that it comes from."""
+    """One effective value and the path of the node that sets it; ``None`` for a default."""
 
     name: str
     value: str
@@ -90,7 +98,25 @@
 @wire
 @dataclass(frozen=True, slots=True)
 class TargetSnapshot:
-    """One box's current view of a target."""
+    """One box's current view of a target.
+
+    Parameters
+    ----------
+    address, place : str
+    score : float
+        Load for each slot of the target's capacity: estimated calls in flight, and the load
+        charged for overdue calls and errors.
+    own : int
+        Calls of this box in flight at the target.
+    others : float
+        Calls of other boxes in flight at the target, from its last report.
+    doubt : float
+        Moving average of the share of this box's calls that the target's reports lack.
+    leaving : bool
+        Whether the target is draining.
+    aside : bool
+        Whether the box has ejected the target.
+    """
 
     address: Address
     place: str
@@ -105,7 +131,12 @@
 @wire
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """Error response to an operator's request."""
+    """Error response to an operator's request.
+
+    Notes
+    -----
+    Also the response to a change of the log level, with the code ``ok``.
+    """
 
     code: str
     detail: str
