--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -105,7 +105,7 @@
     read_settings, read_target : callable
         Parse the settings document and one row of the targets table.
     targets : TargetDialect
-        Headers and paths of requests to targets.
+        Headers of requests to targets and of their answers.
     read_request : callable
         Converts an exchange to a caller's request; returns ``None`` if required headers are
         missing or invalid.
--- a/dunlinnotch/daemon/gossip.py
+++ b/dunlinnotch/daemon/gossip.py
@@ -37,7 +37,8 @@
 #: Number of such checks before a new box contacts its seeds again.
 _POLLS_PER_REQUEST = 4
 _FETCH_TIMEOUT_S = 1.0
-#: Peers asked after a pause of this box: several, because some may have been paused too.
+#: Number of peers whose heartbeats are requested after a pause of this box: several, because
+#: some may have been paused too.
 _MAX_PEERS_ASKED_AFTER_PAUSE = 3
 
 _log = logging.getLogger(__name__)
@@ -131,7 +132,7 @@
                 return
 
     def request_updates(self) -> None:
-        """Ask a few peers for their heartbeats, which show within a round trip what changed."""
+        """Request the heartbeats of a few peers, which show within a round trip what changed."""
         peers = self._mesh.heartbeat_peers()
         self._request_heartbeats(
             self._rng.sample(peers, min(_MAX_PEERS_ASKED_AFTER_PAUSE, len(peers)))
