--- a/dunlinnotch/platform/dialect.py
+++ b/dunlinnotch/platform/dialect.py
@@ -95,8 +95,8 @@
         if 200 <= head.status < 300 and find_header(head.headers, SEAL.lower()) is None:
             return Verdict.UNUSABLE
         if head.status in _NOT_RUN_STATUSES or head.status < 200:
-            # Passed on, it would guarantee to the client that the request did not run, which
-            # the worker did not say.
+            # Passed on, the status would guarantee to the client that the request did not run,
+            # which the worker has not stated.
             return Verdict.UNUSABLE
         return Verdict.MATCHING
 
--- a/dunlinnotch/platform/settings_file.py
+++ b/dunlinnotch/platform/settings_file.py
@@ -30,6 +30,16 @@
     ----------
     text : str
         Lines of the form ``a.b=value``; unknown fields are ignored.
+
+    Raises
+    ------
+    ConfigError
+        If a line has another form.
+
+    Notes
+    -----
+    Each method raises :class:`~dunlinnotch.errors.ConfigError` if the field is invalid, or
+    missing although it is required; the error names the field, its value and those allowed.
     """
 
     def __init__(self, text: str) -> None:
@@ -104,11 +114,21 @@
 
 
 class EndpointSettings:
-    """Addresses of the endpoints of a box and of the store, and a limit of the directory.
+    """Addresses of the endpoints of a box and of the store, and the directory's maximum TTL.
 
     Parameters
     ----------
     file : NodeFile
+
+    Attributes
+    ----------
+    max_ttl : float
+        Maximum time for which clients may cache an answer of the directory, in seconds.
+
+    Raises
+    ------
+    ConfigError
+        If a field is missing or invalid.
     """
 
     def __init__(self, file: NodeFile) -> None:
