--- a/dunlinnotch/transport/front.py
+++ b/dunlinnotch/transport/front.py
@@ -72,7 +72,7 @@
         """Return the default time for a call in seconds, for calls without a deadline."""
 
     def version(self) -> Version:
-        """Return the settings version in force."""
+        """Return the active settings version."""
 
 
 class CallerBody:
--- a/dunlinnotch/transport/operator.py
+++ b/dunlinnotch/transport/operator.py
@@ -54,7 +54,7 @@
         return self._request(Status, "GET", "/status")
 
     def tree(self) -> SettingsTree:
-        """Return the settings tree in force at the box."""
+        """Return the active settings tree of the box."""
         return self._request(SettingsTree, "GET", "/settings")
 
     def explain(self, path: str) -> list[EffectiveValue]:
@@ -62,7 +62,7 @@
         return self._request(list[EffectiveValue], "GET", f"/explain?{urlencode({'path': path})}")
 
     def targets(self, service: str) -> list[TargetSnapshot]:
-        """Return the current view of the box of the targets of a service."""
+        """Return the box's current view of each target of a service."""
         return self._request(
             list[TargetSnapshot], "GET", f"/targets?{urlencode({'service': service})}"
         )
--- a/dunlinnotch/transport/peers.py
+++ b/dunlinnotch/transport/peers.py
@@ -200,7 +200,7 @@
             link.sync_due.set()
 
     def peer_names(self) -> list[str]:
-        """Return the sorted names of the peers to which links are kept."""
+        """Return the sorted names of the peers that this box opens links to."""
         return sorted(self._links)
 
     def _maintain_links(self) -> None:
--- a/dunlinnotch/transport/targets.py
+++ b/dunlinnotch/transport/targets.py
@@ -74,7 +74,7 @@
     ----------
     limit : callable
         Given a target, returns the maximum number of connections of this box to
-        it: the fixed share of the box in what the target accepts.
+        it: the share of this box in the connections that the target accepts.
     clock : callable
 
     Notes
