--- a/tests/test_stream_server.py
+++ b/tests/test_stream_server.py
@@ -95,7 +95,7 @@
     "chunk", [b"+5\r\nhello\r\n", b"-1\r\n", b"0x5\r\nhello\r\n", b"5\r\nhelloX\r\n"]
 )
 def test_invalid_chunk_is_rejected(chunk):
-    """Guards against a handler that takes a body with invalid framing for complete."""
+    """Guards against a handler that receives a body with invalid framing as complete."""
 
     async def test():
         async with RecordingServer() as server:
