--- a/dunlinnotch/coordination/membership/crash_gossip.py
+++ b/dunlinnotch/coordination/membership/crash_gossip.py
@@ -74,7 +74,7 @@
         Sends crash reports to peers.
     on_synced : callable
         Called once this box holds the records from before its start.
-    era : callable
+    epoch : callable
         Returns the epoch of the store: rows written in an earlier one may be lost.
     rng : random.Random
 
@@ -92,7 +92,7 @@
         *,
         send: Send,
         on_synced: Callable[[], None],
-        era: Callable[[], int],
+        epoch: Callable[[], int],
         rng: random.Random,
     ) -> None:
         self._records = log
@@ -100,8 +100,8 @@
         self._store = store
         self._send = send
         self._on_synced = on_synced
-        self._era = era
-        self._stored_in_era: int | None = None
+        self._epoch = epoch
+        self._stored_in_epoch: int | None = None
         self._rng = rng
         self._started_at = log.now
         self._read_at = -math.inf
@@ -219,11 +219,11 @@
 
     def _restore_lost(self) -> None:
         """Store all quarantined requests again after the store's epoch has changed."""
-        era = self._era()
-        if self._stored_in_era is None:
-            self._stored_in_era = era if self.synced else None
-        elif era > self._stored_in_era and self._mesh.is_follower():
-            self._stored_in_era = era
+        epoch = self._epoch()
+        if self._stored_in_epoch is None:
+            self._stored_in_epoch = epoch if self.synced else None
+        elif epoch > self._stored_in_epoch and self._mesh.is_follower():
+            self._stored_in_epoch = epoch
             quarantined = [
                 e.request
                 for e in self._records.conclusive
--- a/dunlinnotch/daemon/entry.py
+++ b/dunlinnotch/daemon/entry.py
@@ -197,7 +197,7 @@
             adapter.rows,
             send=self.gossip.send_crash_reports,
             on_synced=self.gossip.announce_state,
-            era=lambda: max(table.epoch for table in self.tables.values()),
+            epoch=lambda: max(table.epoch for table in self.tables.values()),
             rng=rng,
         )
         self.gossip.attach(self.crash_gossip, self.followers)
--- a/tests/test_crash_gossip.py
+++ b/tests/test_crash_gossip.py
@@ -24,7 +24,7 @@
 
     def __init__(self):
         self.rows = {}
-        self.era = 1
+        self.epoch = 1
         self.version = 0
         self.now = 500.0
         self.unavailable = False
@@ -81,7 +81,7 @@
             self.store,
             send=send,
             on_synced=lambda: None,
-            era=lambda: self.store.era,
+            epoch=lambda: self.store.epoch,
             rng=rng,
         )
 
@@ -181,7 +181,7 @@
         store,
         send=lambda *_: None,
         on_synced=lambda: None,
-        era=lambda: store.era,
+        epoch=lambda: store.epoch,
         rng=random.Random(1),
     )
     return gossip, log, boxes
@@ -239,7 +239,7 @@
         store = Rows()
         gossip = await box_with_stored_quarantine(store)
         store.rows.clear()
-        store.era += 1
+        store.epoch += 1
         await work(gossip, lambda: store.rows)
         assert list(store.rows) == ["worst"]
 
@@ -251,7 +251,7 @@
         store = Rows()
         gossip = await box_with_stored_quarantine(store)
         version, calls = store.version, store.calls
-        store.era += 1
+        store.epoch += 1
         await work(gossip, lambda: store.calls > calls and not gossip._to_store)
         assert (store.version, store.calls) == (version, calls + 1)
 
