--- a/dunlinnotch/state/instances.py
+++ b/dunlinnotch/state/instances.py
@@ -15,8 +15,9 @@
 _MAX_REMOVED = 4000
 #: Back-offs that are remembered, in case a target's row is removed and added again.
 _MAX_BACKOFFS = 1000
-#: Above any sequence number, so that no later row of the same start is accepted.
-_NEVER = 1 << 62
+#: Recorded as the sequence number of a start that is leaving.  It is above those of all
+#: rows, so that no later row of the same start is accepted.
+_MAX_SEQUENCE = 1 << 62
 
 #: Start time and sequence number of a target's row; the larger one is newer.
 RowOrder = tuple[int, int]
@@ -33,7 +34,9 @@
     service, place : str
     address : str
     slots : int
+        Maximum number of requests that it runs at once.
     leaving : bool
+        Whether it is about to shut down and accepts no new requests.
     sequence : int
         Number that rises with each row of one start.
     slow_start_s : float
@@ -71,6 +74,7 @@
     in_flight : int, default 0
         Requests of this box in progress at the target.
     sent_since_report : int, default 0
+        Requests for which this box has selected it since its last report.
     report : TargetReport, optional
         Its last report.
     reported_at, probed_at : float
@@ -86,6 +90,7 @@
     lost : bool, default False
         Whether the row disappeared because the store lost it, not because it was removed.
     healthy : bool, default True
+        Whether it reported itself healthy in its last probe result.
 
     Notes
     -----
@@ -190,7 +195,7 @@
         return existing is not None and self._retire(existing.listed)
 
     def suspend(self, instance: str) -> bool:
-        """Remove a target until its last row or a newer one arrives; return whether listed.
+        """Remove a target until its last row or a newer one arrives; return whether it was listed.
 
         Parameters
         ----------
@@ -229,7 +234,7 @@
 
     def _retire(self, listed: ListedTarget) -> bool:
         existing = self._instances.pop(listed.instance, None)
-        self._record_removal(listed.instance, (listed.born, _NEVER))
+        self._record_removal(listed.instance, (listed.born, _MAX_SEQUENCE))
         if existing is None:
             return False
         existing.removed = True
