--- a/dunlinnotch/state/crashes.py
+++ b/dunlinnotch/state/crashes.py
@@ -133,9 +133,9 @@
             return True
         before = set(self.targets)
         union = {**other.targets, **self.targets}
-        youngest = sorted(union, key=lambda target: union[target].ended)[-MAX_TARGETS_PER_REQUEST:]
-        self.targets = {target: union[target] for target in youngest}
-        return set(youngest) != before
+        latest = sorted(union, key=lambda target: union[target].ended)[-MAX_TARGETS_PER_REQUEST:]
+        self.targets = {target: union[target] for target in latest}
+        return set(latest) != before
 
     def forget(self, before: Seconds) -> None:
         """Drop crashes up to the time ``before``."""
