--- a/dunlinnotch/state/ledger.py
+++ b/dunlinnotch/state/ledger.py
@@ -34,7 +34,7 @@
 
 
 class ClaimStatus(Enum):
-    """Result of a claim."""
+    """Result of :meth:`IdempotencyLedger.claim`."""
 
     RUN = auto()
     KNOWN = auto()
@@ -99,6 +99,7 @@
     clock : callable
         The monotonic clock by which keys are issued.
     max_keys : int, default 200000
+        Number of keys held above which new ones are refused.
 
     Notes
     -----
@@ -109,7 +110,7 @@
 
     def __init__(self, *, clock: Clock, max_keys: int = MAX_KEYS) -> None:
         self._clock = clock
-        self._keys_max = max_keys
+        self._max_keys = max_keys
         self._entries: OrderedDict[str, KeyEntry] = OrderedDict()
         self._stored_bytes = 0
         # Keys issued up to this time may have been claimed and dropped.
@@ -145,7 +146,7 @@
                 return Claim(ClaimStatus.KNOWN, existing)
             if now - issued_at > window or issued_at > now:
                 return Claim(ClaimStatus.EXPIRED)
-            if len(self._entries) >= self._keys_max:
+            if len(self._entries) >= self._max_keys:
                 return Claim(ClaimStatus.FULL)
             entry = self._entries[key] = KeyEntry(key, now)
             return Claim(ClaimStatus.RUN, entry)
