--- a/dunlinnotch/state/table_replica.py
+++ b/dunlinnotch/state/table_replica.py
@@ -47,8 +47,8 @@
         Whether ``rows`` are all rows of the table.
     rows : tuple of TableRow
     changed : int, default 0
-        Version from which to ``version`` no row changed, if the delta is from a peer; 0
-        if it is from the store.
+        Version after which, up to ``version``, no row of the table changed, if the delta is
+        from a peer; 0 if it is from the store.
     epoch : int, optional
         Number that rises each time the store is restored from a backup.  Versions of
         different epochs can't be compared, since a restored store assigns the versions
@@ -64,7 +64,7 @@
 
 
 class TableReplica:
-    """Replica of one table, which only moves to a higher version or a later epoch.
+    """Replica of one table; its version only rises within an epoch, and its epoch only rises.
 
     Parameters
     ----------
@@ -79,8 +79,9 @@
     version : int
         Version up to which the replica is complete; 0 before the first read.
     changed : int
-        Version from which to ``version`` no row changed.  The store counts versions over
-        all its tables, so ``version`` also rises when no row of this table changed.
+        Version after which, up to ``version``, no row of the table changed.  The store
+        counts versions over all its tables, so ``version`` also rises when other tables
+        change.
     verified_at : float or None
         Latest time, in monotonic seconds, at which the store held nothing newer.
     """
@@ -128,8 +129,8 @@
 
         Notes
         -----
-        Neither replica changed between its ``changed`` and its ``version``.  Where these
-        ranges overlap, both hold the same rows.
+        The rows of a replica were the same at all versions from its ``changed`` to its
+        ``version``.  Where these ranges overlap, both replicas hold the same rows.
         """
         if not self.loaded or (epoch, changed) > (self.epoch, self.version):
             return False
