--- a/dunlinnotch/state/schema.py
+++ b/dunlinnotch/state/schema.py
@@ -72,7 +72,10 @@
         RunState.RUNNING, description="Whether new work may go to this place, box or target."
     )
     weight: float = Field(
-        1.0, ge=0, le=1000, description="Share of a service's calls that this place takes."
+        1.0,
+        ge=0,
+        le=1000,
+        description="Weight of this place in the split of a service's calls over places.",
     )
     targets: AddressList = Field((), description="Addresses of the service's targets here.")
     slots: int = Field(
@@ -86,11 +89,11 @@
         250,
         ge=1,
         le=65535,
-        description="Connections one target accepts, from all boxes together.",
+        description="Connections that one target accepts from all boxes together.",
         json_schema_extra=_unit("connections"),
     )
     subset: int = Field(
-        10, ge=1, le=1000, description="Targets of a service one box works with in each place."
+        10, ge=1, le=1000, description="Targets of a service that one box uses in each place."
     )
     boxes_max: int = Field(
         18,
@@ -235,7 +238,9 @@
     """Return a description of the values allowed for the setting ``name``, with unit."""
     field = Settings.model_fields[name]
     bounds = [
-        f"{type(m).__name__.lower()} {next(iter(vars_of(m)))}" for m in field.metadata if vars_of(m)
+        f"{type(m).__name__.lower()} {next(iter(bounds_of(m)))}"
+        for m in field.metadata
+        if bounds_of(m)
     ]
     annotation = field.annotation
     if isinstance(annotation, type) and issubclass(annotation, StrEnum):
@@ -245,7 +250,7 @@
     return ", ".join([type_name, *bounds, *([u] if (u := unit_of(name)) else [])])
 
 
-def vars_of(constraint: object) -> list[object]:
+def bounds_of(constraint: object) -> list[object]:
     """Return the bound held by an ``annotated_types`` constraint, if any."""
     return [
         getattr(constraint, key) for key in ("ge", "gt", "le", "lt") if hasattr(constraint, key)
