--- a/dunlinnotch/state/targets.py
+++ b/dunlinnotch/state/targets.py
@@ -1,4 +1,4 @@
-"""State of a target at one box: its own calls exactly, those of other boxes estimated."""
+"""State of a target at one box: this box's calls exactly, those of other boxes estimated."""
 
 from __future__ import annotations
 
@@ -122,8 +122,8 @@
     def overdue(self, now: Seconds) -> float:
         """Return the load charged for the call that is most overdue, in calls.
 
-        A target that has become slow answers, and so reports, rarely; its last report is
-        too low, and its overdue calls show the slowness earlier.
+        A target that has become slow answers rarely, and so reports rarely.  Its last report
+        understates its load, and its overdue calls show that it is slow before the next one.
         """
         max_overdue = 0.0
         for flight in self.flights:
