--- a/dunlinnotch/coordination/choosing/selector.py
+++ b/dunlinnotch/coordination/choosing/selector.py
@@ -4,7 +4,7 @@
 goes to the first target that its report shows to be good.  Requests that find none wait in
 one queue for each service, ordered by rank and then by whether they can still end in time.
 A few targets at a time are probed for the queue, to stay within the probe budget; each one
-found good serves the first request in the queue.  See ``docs/design/overload.md``.
+that proves good gets the first request in the queue.  See ``docs/design/overload.md``.
 """
 
 from __future__ import annotations
@@ -206,7 +206,7 @@
     def _offer(
         self, queue: ServiceQueue, instance: Instance, probe_result: ProbeResult | None
     ) -> bool:
-        """Give waiting requests a target while it is good; return whether the probe was used."""
+        """Give a good target to waiting requests; return whether the probe was used."""
         used = False
         while queue.waiters and not instance.removed and self._accepts(instance):
             waiter = queue.pop_for(instance, self._loop.time())
@@ -385,7 +385,7 @@
             )
 
     def _apply_backoff(self, instance: Instance, backoff: Seconds) -> None:
-        """Apply the back-off that a target requested, and refuse requests that can't outwait it."""
+        """Apply a requested back-off; refuse requests that can't wait until it ends."""
         # A target that refuses requests is idle, so by load alone it would be selected next.
         now = self._loop.time()
         self._instances.back_off(instance, now + backoff)
--- a/tests/test_selector.py
+++ b/tests/test_selector.py
@@ -154,10 +154,10 @@
 
 def test_late_end_is_accepted_only_without_a_good_target_for_a_while():
     async def scenario(selector, instances, targets, choose):
-        found = choose()
+        good = choose()
         await run_ready()
         targets.answer("t-0")
-        assert (await found).reason == "good"
+        assert (await good).reason == "good"
         # Slow now but good just before: the request is refused rather than late.
         assert await choose_while_slow(instances, targets, choose) is None
         later = [await choose_while_slow(instances, targets, choose) for _ in range(60)]
@@ -286,14 +286,14 @@
 
 def test_target_already_tried_is_not_given_to_the_same_request():
     async def scenario(selector, instances, targets, choose):
-        again, other = choose(tried=("t-0",)), choose()
+        retry, other = choose(tried=("t-0",)), choose()
         await run_ready()
         targets.answer("t-0")
         await run_ready()
         assert other.done()
-        assert not again.done()
+        assert not retry.done()
         targets.answer("t-1")
-        assert (await again).instance.name == "t-1"
+        assert (await retry).instance.name == "t-1"
 
     run_with_manual_probes([("hall-a", "t-0"), ("hall-a", "t-1")], scenario)
 
