--- a/dunlinnotch/coordination/choosing/pool.py
+++ b/dunlinnotch/coordination/choosing/pool.py
@@ -19,7 +19,8 @@
     from dunlinnotch.state.targets import TargetRecord
     from dunlinnotch.types import Address, Clock, Seconds
 
-#: Share of this box's even part of all slots that it may use whatever the other boxes send.
+#: Fraction of its equal share of all slots that a box may use whatever the estimated load of
+#: other boxes is.
 _MIN_SHARE = 0.75
 
 
@@ -74,8 +75,8 @@
         Parameters
         ----------
         targets : iterable of TargetRecord
-            Records with address, place, slots and sharers.  Targets that are already
-            known keep the rest of their records.
+            Records with address, place, slots and sharers.  For targets that the pool has
+            already, only these fields of its records are updated.
         shares : dict of str to float
             Probability of each place.
         settings : Settings
@@ -92,8 +93,8 @@
             self._chooser.warm_up_s = settings.warm_up_s
             self._retries.share = settings.retry_share
             self._target_queue = settings.target_queue
-            even_split = sum(target.slots / target.sharers for target in active.values())
-            self._min_in_flight = max(1, round(even_split * _MIN_SHARE))
+            equal_share = sum(target.slots / target.sharers for target in active.values())
+            self._min_in_flight = max(1, round(equal_share * _MIN_SHARE))
             self._grant_waiting()
 
     def enter(self, ticket: Ticket) -> Seconds | None:
@@ -102,7 +103,7 @@
         Parameters
         ----------
         ticket : Ticket
-            Its state tells on return whether it was granted.
+            On return, its state shows whether it was granted.
 
         Returns
         -------
