--- a/dunlinnotch/coordination/choosing/least_load.py
+++ b/dunlinnotch/coordination/choosing/least_load.py
@@ -207,7 +207,15 @@
         return flight
 
     def heard(self, target: TargetRecord, now: Seconds, in_flight: int) -> None:
-        """Record a load report that came with an answer or a probe result."""
+        """Record a load report that came with an answer or a probe result.
+
+        Parameters
+        ----------
+        target : TargetRecord
+        now : float
+        in_flight : int
+            Calls in flight at the target besides the one that was answered.
+        """
         others = target.record_report(now, in_flight)
         self._mean_others += _GAIN * (others - self._mean_others)
         self._last_report_at = now
@@ -314,9 +322,9 @@
 ) -> dict[str, float]:
     """Return the probability with which a box at ``home`` sends a call to each place.
 
-    Each place receives its weight's share of all calls.  A box sends calls to its own place
-    first.  Calls beyond that place's share go to the places whose own boxes send less than
-    their share.
+    Each place receives the share of all calls that its weight gives it.  A box sends calls
+    to its own place first.  Calls beyond that place's share go to the places whose boxes
+    send less than the place's share.
 
     Parameters
     ----------
@@ -345,13 +353,15 @@
     demand_shares = {place: demand.get(place, 0.0) / total_demand for place in {*weights, *demand}}
     if demand_shares.get(home, 0.0) <= 0.0:
         return weight_shares
-    kept_share = min(demand_shares[home], weight_shares.get(home, 0.0)) / demand_shares[home]
+    local_share = min(demand_shares[home], weight_shares.get(home, 0.0)) / demand_shares[home]
     deficits = {
         p: w - min(w, demand_shares.get(p, 0.0)) for p, w in weight_shares.items() if p != home
     }
     total_deficit = sum(deficits.values())
-    if kept_share >= 1.0 or total_deficit <= 0.0:
-        return {home: 1.0} if kept_share > 0 else weight_shares
-    shares = {home: kept_share} if kept_share > 0 else {}
-    shares.update({p: (1.0 - kept_share) * v / total_deficit for p, v in deficits.items() if v > 0})
+    if local_share >= 1.0 or total_deficit <= 0.0:
+        return {home: 1.0} if local_share > 0 else weight_shares
+    shares = {home: local_share} if local_share > 0 else {}
+    shares.update(
+        {p: (1.0 - local_share) * v / total_deficit for p, v in deficits.items() if v > 0}
+    )
     return shares
--- a/tests/test_choice.py
+++ b/tests/test_choice.py
@@ -7,7 +7,7 @@
 from dunlinnotch.state.targets import MAX_REPORT_SHORTFALL, TargetRecord
 
 
-def make(count=4, *, places=("hall-a",), shares=None):
+def make_chooser(count=4, *, places=("hall-a",), shares=None):
     targets = [
         TargetRecord(f"10.0.0.{n}:80", places[n % len(places)], 6, 6.0) for n in range(count)
     ]
@@ -25,23 +25,23 @@
 
 
 def test_least_loaded_target_is_chosen_and_ties_are_random():
-    chooser, targets = make()
+    chooser, targets = make_chooser()
     for target in targets[1:]:
         chooser.begin(target, 0.0, kind="a")
     assert chooser.choose(0.0).target is targets[0]
-    chooser, targets = make()
+    chooser, targets = make_chooser()
     assert len({chooser.choose(0.0).target.address for _ in range(50)}) == 4
 
 
 def test_load_report_counts_at_once_and_decays():
-    chooser, targets = make(2)
+    chooser, targets = make_chooser(2)
     chooser.heard(targets[0], 0.0, 5)
     assert chooser.choose(0.0).target is targets[1]
     assert abs(chooser.score(targets[0], 10.0) - chooser.score(targets[1], 10.0)) < 0.01
 
 
 def test_target_that_fails_fast_is_ejected():
-    chooser, targets = make()
+    chooser, targets = make_chooser()
     failing = targets[0].address
     failures = 0
     now = 0.0
@@ -57,14 +57,14 @@
 
 
 def test_ejected_share_is_limited_when_all_targets_fail():
-    chooser, targets = make(10)
+    chooser, targets = make_chooser(10)
     for step in range(500):
         run_call(chooser, step * 0.01, failed=True)
     assert sum(target.ejected for target in targets) <= 4
 
 
 def test_ejected_target_gets_only_allowed_trials_and_returns_after_a_success():
-    chooser, targets = make(3)
+    chooser, targets = make_chooser(3)
     for _ in range(3):
         flight = chooser.begin(targets[0], 0.0, kind="a")
         chooser.finish(targets[0], flight, 0.0, kind="a", failed=True)
@@ -77,7 +77,7 @@
 
 
 def test_target_that_underreports_its_load_is_doubted():
-    chooser, targets = make(1)
+    chooser, targets = make_chooser(1)
     flights = [chooser.begin(targets[0], 0.0, kind="a") for _ in range(4)]
     for _ in range(20):
         chooser.heard(targets[0], 0.0, 0)
@@ -86,7 +86,7 @@
 
 
 def test_overdue_call_raises_the_score_of_its_target():
-    chooser, targets = make(2)
+    chooser, targets = make_chooser(2)
     chooser.begin(targets[0], 0.0, kind="a")
     chooser.begin(targets[1], 0.9, kind="a")
     assert chooser.choose(1.0).target is targets[1] or targets[0].overdue(1.0) > 1.0
@@ -94,7 +94,7 @@
 
 
 def test_capacity_grows_during_slow_start():
-    chooser, targets = make(2)
+    chooser, targets = make_chooser(2)
     targets[0].begin_warm_up(0.0, 10.0)
     assert targets[0].capacity(0.0) == pytest.approx(1.2)
     assert targets[0].capacity(5.0) == pytest.approx(3.6)
@@ -111,7 +111,9 @@
 
 
 def test_saturated_place_spills_to_another():
-    chooser, targets = make(4, places=("hall-a", "hall-b"), shares={"hall-a": 1.0, "hall-b": 1e-9})
+    chooser, targets = make_chooser(
+        4, places=("hall-a", "hall-b"), shares={"hall-a": 1.0, "hall-b": 1e-9}
+    )
     for target in targets:
         if target.place == "hall-a":
             for _ in range(6):
