--- a/dunlinnotch/coordination/choosing/limits.py
+++ b/dunlinnotch/coordination/choosing/limits.py
@@ -62,6 +62,9 @@
         Whether the call may be sent as a trial to an ejected target.
     on_granted : callable
         Called once, when the call is granted.
+    state : TicketState
+    grant : Grant, optional
+        Set when the call is granted.
     """
 
     kind: str
@@ -139,12 +142,12 @@
         ticket.on_granted()
 
     def expected_wait(self, rank: int) -> Seconds:
-        """Return the expected wait of a new call of a rank, in seconds, by the recent pace."""
+        """Return the seconds that a new call of a rank is expected to wait, by recent grants."""
         queued_ahead = sum(len(q.tickets) for q in self._kinds.values() if q.rank <= rank)
         return queued_ahead * (self._mean_grant_interval or 0.0)
 
     def reset_pace(self) -> None:
-        """Start measuring the pace anew, because no call waits."""
+        """Restart the measurement of the grant interval, because no call waits."""
         self._last_grant_at = None
 
     def _record_grant_interval(self, now: Seconds) -> None:
