--- a/dunlinnotch/coordination/choosing/saturation.py
+++ b/dunlinnotch/coordination/choosing/saturation.py
@@ -14,7 +14,7 @@
 
 #: Weight of a new probe result in the share.
 _GAIN = 0.1
-#: Time without a probe result after which the share is forgotten, in seconds.
+#: Time without a probe result after which the share counts as 0, in seconds.
 _MAX_AGE_S = 1.0
 #: Shares of saturated targets between which the admission share falls from 1 to 0.
 FULL_ADMISSION_BELOW, NO_ADMISSION_ABOVE = 0.6, 0.85
--- a/dunlinnotch/coordination/choosing/subset.py
+++ b/dunlinnotch/coordination/choosing/subset.py
@@ -56,7 +56,7 @@
     chosen: dict[str, set[Address]] = {box: set() for box in sorted(boxes)}
     for _ in range(size):
         for box, assigned in chosen.items():
-            under_quota = [t for t, left in remaining.items() if left > 0 and t not in assigned]
+            under_quota = [t for t, quota in remaining.items() if quota > 0 and t not in assigned]
             available = under_quota or [t for t in remaining if t not in assigned]
             best = max(available, key=lambda target: rank_hash(box, target))
             assigned.add(best)
--- a/dunlinnotch/coordination/choosing/waiting.py
+++ b/dunlinnotch/coordination/choosing/waiting.py
@@ -16,10 +16,10 @@
     from dunlinnotch.state.instances import Instance
     from dunlinnotch.types import Seconds
 
-#: Concurrent probes for each waiting request.  The first good result ends the search, and
-#: the other probes are spent in vain.
+#: Limit of concurrent probes for each waiting request.  The first good result ends the wait,
+#: so further probes would be wasted.
 _PROBES_PER_WAITER = 2
-#: Concurrent probes for one service.
+#: Limit of concurrent probes for one service.
 _MAX_PROBES = 8
 
 
