--- a/dunlinnotch/coordination/budgets/probe_leases.py
+++ b/dunlinnotch/coordination/budgets/probe_leases.py
@@ -27,8 +27,8 @@
 
 KEY_PREFIX = "probe-seat/"
 DEFAULT_LEASE_S = 300.0
-#: Time for which an expired lease is still left to its holder, as a share of the lease:
-#: clocks may run at different speeds.
+#: Margin after the expiry of a lease before another box acquires it, as a share of the
+#: lease: clocks may run at different speeds.
 _CLOCK_DRIFT = 0.05
 _SCAN_LIMIT = 10_000
 
--- a/dunlinnotch/coordination/budgets/probes.py
+++ b/dunlinnotch/coordination/budgets/probes.py
@@ -1,7 +1,8 @@
-"""Probe targets within a budget, and only those that no call has reported on lately.
+"""Budget for probing targets, and the choice of targets that need a probe.
 
 Each box gets a fixed share of each target's budget: the budget divided by the maximum
 number of boxes in the settings.  The sum stays within the budget without coordination.
+Only targets that no call has reported on lately are probed.
 See ``docs/design/probe-budget.md``.
 """
 
@@ -59,7 +60,11 @@
         self._last_probes: dict[Address, _LastProbe] = {}
 
     def needs_probe(self, target: TargetRecord, now: Seconds) -> bool:
-        """Return whether calls have told nothing of a target lately, or it is leaving."""
+        """Return whether a target is to be probed when the budget allows it.
+
+        That is the case if no call has used or reported on it lately, or if it is leaving;
+        not during its back-off.
+        """
         if now < target.backoff_until:
             return False
         silent = now - max(target.reported_at, target.last_used) > _PROBE_AFTER_SILENCE_S
--- a/dunlinnotch/coordination/budgets/retries.py
+++ b/dunlinnotch/coordination/budgets/retries.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-#: Maximum number of unspent retries.
+#: Maximum number of unspent retries in the budget, which it also holds at first.
 _MAX_SAVED = 10.0
 
 
@@ -16,7 +16,7 @@
 
     Notes
     -----
-    Not thread-safe; the caller holds a lock.
+    Not thread-safe; callers must hold a lock.
     """
 
     def __init__(self, share: float = 0.1) -> None:
--- a/dunlinnotch/coordination/budgets/shares.py
+++ b/dunlinnotch/coordination/budgets/shares.py
@@ -28,6 +28,13 @@
         Maximum number of probes per second to one target, from all boxes together.
     clock : callable
 
+    Attributes
+    ----------
+    boxes : int
+        Number of boxes that share the budget.
+    spent, denied : int
+        Probes spent, and probes refused because the share was spent.
+
     Notes
     -----
     One token bucket for each target.  A bucket holds the share of one second, but at least
@@ -91,7 +98,7 @@
     ratio : float
         Retries allowed for each request.
     slack : float
-        Retries allowed besides, in each window, from all boxes together.
+        Retries allowed in addition, in each window, from all boxes together.
     window : float
         Length of the window, in seconds.
     clock : callable
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -8,7 +8,7 @@
 from dunlinnotch.coordination.budgets.shares import ProbeShare, RetryShare
 
 
-class Now:
+class Clock:
     """Clock that the test advances."""
 
     def __init__(self):
@@ -24,7 +24,7 @@
     gaps=st.lists(st.floats(0, 0.2), min_size=20, max_size=300),
 )
 def test_probes_of_all_boxes_to_one_target_stay_within_the_budget(boxes, gaps):
-    clock = Now()
+    clock = Clock()
     shares = [ProbeShare(60.0, clock=clock) for _ in range(boxes)]
     for share in shares:
         share.boxes = boxes
@@ -40,7 +40,7 @@
 
 
 def test_spent_share_refills():
-    clock = Now()
+    clock = Clock()
     share = ProbeShare(10.0, clock=clock)
     share.boxes = 1
     spent = sum(share.try_spend("t") for _ in range(100))
@@ -61,7 +61,7 @@
     ),
 )
 def test_retries_of_all_boxes_stay_within_the_budget_over_every_window(boxes, steps):
-    clock = Now()
+    clock = Clock()
     shares = [RetryShare(ratio=0.2, slack=62.0, window=10.0, clock=clock) for _ in range(boxes)]
     for share in shares:
         share.boxes = boxes
@@ -85,7 +85,7 @@
 
 
 def test_box_without_requests_has_its_share_of_the_slack():
-    clock = Now()
+    clock = Clock()
     share = RetryShare(ratio=0.2, slack=62.0, window=10.0, clock=clock)
     share.boxes = 17
     assert sum(share.try_spend() for _ in range(50)) == 3
