--- a/dunlinnotch/coordination/core.py
+++ b/dunlinnotch/coordination/core.py
@@ -94,6 +94,7 @@
     clock : callable
     rng : random.Random
     timing : Timing, optional
+        Defaults to ``Timing()``.
     on_settings : callable, optional
         Called after a new settings version has become active.
     """
@@ -177,7 +178,7 @@
         return self.holder.tree.effective(path).deadline_ms / 1000
 
     def version(self) -> Version:
-        """Return the active settings version."""
+        """Return the active settings version; 0 before any is known."""
         return self.holder.version
 
     def poll_store(self) -> bool:
@@ -191,12 +192,13 @@
         Raises
         ------
         PlatformUnavailableError
+            If the table or the list can't be read, or a row of the settings is invalid.
         """
-        moved = self.follower.poll()
+        changed = self.follower.poll()
         if self.follower.read_at is not None:
             self.membership.record_table_read(self.follower.read_at)
         self.membership.apply_listing(self._platform.list_boxes())
-        return moved
+        return changed
 
     def is_reader(self) -> bool:
         """Return whether this box polls the table often on behalf of its place."""
@@ -249,7 +251,7 @@
         return self.holder.tree.effective(f"{target.place}/{pool.service}")
 
     def probe_unreported_targets(self) -> None:
-        """Probe the targets that calls give no reports on, within the budget."""
+        """Probe the targets that no call has reported on lately, within the budget."""
         for pool in self.directory.pools():
             for target in pool.records():
                 self._probe_if_due(pool, target)
