--- a/dunlinnotch/coordination/requests/forward.py
+++ b/dunlinnotch/coordination/requests/forward.py
@@ -67,7 +67,7 @@
         took : float
             Seconds since the request arrived.
         sends : int
-            Targets that the request was sent to.
+            Number of times that the request was sent to a target.
         """
 
 
@@ -81,13 +81,13 @@
     settings_age : callable
         Returns the seconds since the settings were last confirmed to be the newest.
     catching_up : callable
-        Returns whether the process was paused and has not yet learned what has changed.
+        Returns whether the process was paused and its view is not yet current again.
     instances : InstanceList
     chooser : FreshReportChooser
     latency_model : LatencyModel
     selector : TargetSelector
     make_retry_share : callable
-        Creates the retry budget of a service.
+        Creates this box's share of the retry budget of a service.
     guard : CrashGuard
     targets : TargetPort
     observer : ForwardObserver
@@ -141,7 +141,7 @@
                 run.timeout_scope.reschedule(self._loop.time())
 
     def retry_share(self, service: str) -> RetryShare:
-        """Return the retry budget of a service."""
+        """Return this box's share of the retry budget of a service."""
         share = self._retry_shares.get(service)
         if share is None:
             share = self._retry_shares[service] = self._make_retry_share()
@@ -168,7 +168,7 @@
             share.boxes = boxes
 
     def keep_only(self, kinds: set[str]) -> None:
-        """Drop what is known of kinds other than ``kinds``."""
+        """Drop the learnt times of kinds other than ``kinds``."""
         self._first_attempts.keep_only(kinds)
 
     async def serve(
@@ -204,12 +204,12 @@
             return self._refuse(run, refusal)
         assert run.kind is not None
         run.split_point = self._next_split_point(run.kind)
-        left = request.deadline - request.arrived
-        run.first_attempt_at -= self._first_attempts.elapsed_since_first(run.kind.name, left)
-        until = min(request.deadline, request.arrived + run.kind.timeout)
+        remaining = request.deadline - request.arrived
+        run.first_attempt_at -= self._first_attempts.elapsed_since_first(run.kind.name, remaining)
+        timeout_at = min(request.deadline, request.arrived + run.kind.timeout)
         ending: Ending | None = None
         try:
-            async with asyncio.timeout_at(until) as run.timeout_scope:
+            async with asyncio.timeout_at(timeout_at) as run.timeout_scope:
                 await run.body.buffer(_MAX_BUFFERED_REQUEST_BYTES)
                 run.tracked = TrackedRequest(fingerprint(request, run.body.buffered))
                 ending = await self._attempt_until_settled(run)
@@ -357,7 +357,7 @@
         instance = selection.instance
         now = self._loop.time()
         request = run.request
-        left = min(request.deadline, request.arrived + kind.timeout) - now
+        remaining = min(request.deadline, request.arrived + kind.timeout) - now
         attempt = Attempt(selection, began=now)
         run.attempts.append(attempt)
         run.tried_instances.add(instance.name)
@@ -369,7 +369,7 @@
                 instance.address,
                 request,
                 run.body,
-                remaining=left,
+                remaining=remaining,
                 instance=instance.name,
                 may_send=lambda: self._selection_holds(run, selection),
                 on_status=lambda status: self._record_status(attempt, status),
@@ -443,7 +443,7 @@
                     await run.reply.send(part)
                 run.reply.finish()
             if not failed:
-                # Failed answers are left out: they are fast and would lower the usual time.
+                # Failed answers are left out: they are fast and would lower the usual latency.
                 took = self._loop.time() - run.attempts[-1].began
                 self._latency_model.record(
                     kind.name, run.service, run.attempts[-1].selection.load_at_send, took
@@ -485,7 +485,7 @@
         )
 
     def _max_latency_ratio(self, until: Seconds, usual_s: Seconds | None) -> float:
-        """Return the time left until a moment as a multiple of the usual time."""
+        """Return the latency ratio at which a request sent now would end at ``until``."""
         if usual_s is None:
             return math.inf
         return max(0.0, until - self._loop.time()) / usual_s
