--- a/dunlinnotch/coordination/requests/crash_guard.py
+++ b/dunlinnotch/coordination/requests/crash_guard.py
@@ -29,8 +29,8 @@
 
     Attributes
     ----------
-    crashed : dict of str to Span
-        By start of the instance, the time for which it served the request.
+    crashed : dict of str to ServingSpan
+        Targets that crashed while serving the request, by the name of their start.
     """
 
     __slots__ = ("crashed", "fingerprint")
@@ -81,7 +81,7 @@
     async def check_target(
         self, tracked: TrackedRequest, request: CallerRequest, instance: Instance, *, took: Seconds
     ) -> None:
-        """Record a crash if the target that broke off a request has gone.
+        """Record a crash if the target that broke off a request no longer listens.
 
         Parameters
         ----------
@@ -89,7 +89,7 @@
         request : CallerRequest
         instance : Instance
         took : float
-            Seconds for which the target had the request.
+            Seconds between sending the request to the target and its failure.
         """
         ended = self._crash_log.now
         if not await self._targets.is_gone(instance.address):
@@ -130,8 +130,8 @@
             self._publish(changed)
 
     def _record_outcome(
-        self, key: str, ended: Mapping[str, ServingSpan], *, answered: bool
+        self, key: str, crashed: Mapping[str, ServingSpan], *, answered: bool
     ) -> CrashRecord | None:
         if answered:
             return self._crash_log.record_answer(key)
-        return self._crash_log.record_crashes(key, ended) if ended else None
+        return self._crash_log.record_crashes(key, crashed) if crashed else None
--- a/dunlinnotch/coordination/requests/run.py
+++ b/dunlinnotch/coordination/requests/run.py
@@ -58,8 +58,8 @@
     took : float
         Duration in seconds.
     result : str
-        Class name of the :data:`~.relay.AttemptEnd`, or ``cut`` if the answer broke off;
-        empty while the attempt runs.
+        Class name of the :data:`~dunlinnotch.protocol.relay.AttemptEnd`, or ``cut`` if the
+        answer broke off; empty while the attempt runs.
     status : int
         HTTP status of an answer that was not relayed to the caller; 0 if there was none.
     target_status : TargetStatus
@@ -116,7 +116,7 @@
     version : int
         Version of the settings by which the request was matched last.
     sends : int
-        Targets that the request has been sent to.
+        Number of times that the request has been sent to a target.
     may_have_run : bool
         Whether a target may have run the request.
     counted_in_budget : bool
@@ -153,7 +153,7 @@
         return any(attempt.result not in ("NotSent", "NotRun") for attempt in self.attempts[:-1])
 
     def log(self, ending: Ending, *, took: Seconds, settings_age: Seconds) -> None:
-        """Log the result of the request and what it was decided by.
+        """Log the result of the request and the data on which decisions about it were based.
 
         Parameters
         ----------
