--- a/dunlinnotch/coordination/requests/drain.py
+++ b/dunlinnotch/coordination/requests/drain.py
@@ -70,8 +70,8 @@
 
     def status(self) -> DrainStatus:
         """Return the phase and what the drain still waits for."""
-        left = max(0.0, self._answers_until - self._clock())
-        return DrainStatus(self._phase, round(left, 1), self._gate.in_flight)
+        answers_left = max(0.0, self._answers_until - self._clock())
+        return DrainStatus(self._phase, round(answers_left, 1), self._gate.in_flight)
 
     def start(self, *, max_answer_lifetime: Seconds) -> None:
         """Start to drain, unless a drain is in progress.
@@ -91,7 +91,7 @@
         event(_log, "drain-started", answers_s=max_answer_lifetime, calls=self._gate.in_flight)
 
     def resume(self) -> None:
-        """Cancel the drain if the box still serves."""
+        """Cancel the drain, unless the box has begun to close connections."""
         with self._lock:
             if self._phase is not DrainPhase.ANSWERS:
                 return
@@ -101,7 +101,7 @@
         event(_log, "drain-called-off")
 
     def advance(self) -> DrainPhase:
-        """Enter the next phase if there is nothing left to wait for; return the phase."""
+        """Enter the next phase once the current one is complete; return the phase."""
         with self._lock:
             if self._phase is DrainPhase.ANSWERS and self._clock() >= self._answers_until:
                 self._phase = DrainPhase.CALLS
--- a/dunlinnotch/coordination/requests/idempotency.py
+++ b/dunlinnotch/coordination/requests/idempotency.py
@@ -65,6 +65,11 @@
             Seconds for which a key is valid.
         route : callable
             Sends the call to a target and relays the answer.
+
+        Returns
+        -------
+        CallResult
+            That of ``route``, or a refusal, or that of the answer from the ledger.
         """
         claim = self._claim(call, window)
         if isinstance(claim, CallResult):
@@ -109,7 +114,8 @@
         if key is None:
             return _not_run(
                 Reason.ONCE_KEY_INVALID,
-                "expected the prefix from an address answer, followed by a part of your own",
+                "the idempotency key is invalid; expected the prefix from an address answer, "
+                "followed by a suffix of your own",
             )
         if (key.box, key.incarnation) != (self._box, self._incarnation):
             detail = f"only box {key.box}, incarnation {key.incarnation}, may run this key"
