--- a/dunlinnotch/coordination/requests/first_attempts.py
+++ b/dunlinnotch/coordination/requests/first_attempts.py
@@ -1,4 +1,4 @@
-"""Estimate when callers made their first attempt, from the time that they state as left."""
+"""Estimate when callers made their first attempt, from the remaining time that they state."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
     steps: deque[int] = field(default_factory=lambda: deque(maxlen=_WINDOW_REQUESTS))
     request_count: int = 0
-    #: Time stated with first attempts; 0 if not known.
+    #: Time stated with first attempts, in the same multiples; 0 if not known.
     first_step: int = 0
 
     def record(self, step: int) -> None:
@@ -53,13 +53,13 @@
     def __init__(self) -> None:
         self._stated_by_kind: dict[str, _StatedTimes] = {}
 
-    def elapsed_since_first(self, kind: str, left: Seconds) -> Seconds:
+    def elapsed_since_first(self, kind: str, remaining: Seconds) -> Seconds:
         """Return the time since a caller made its first attempt.
 
         Parameters
         ----------
         kind : str
-        left : float
+        remaining : float
             Seconds for which the caller still waits, as it states.
 
         Returns
@@ -68,10 +68,10 @@
             Seconds; 0 for a first attempt, and where that is not known.
         """
         stated = self._stated_by_kind.setdefault(kind, _StatedTimes())
-        stated.record(round(left / _ROUNDING_S))
-        return max(0.0, stated.first_step * _ROUNDING_S - left) if stated.first_step else 0.0
+        stated.record(round(remaining / _ROUNDING_S))
+        return max(0.0, stated.first_step * _ROUNDING_S - remaining) if stated.first_step else 0.0
 
     def keep_only(self, kinds: set[str]) -> None:
-        """Drop what is known of kinds other than ``kinds``."""
+        """Drop the learnt times of kinds other than ``kinds``."""
         for kind in self._stated_by_kind.keys() - kinds:
             del self._stated_by_kind[kind]
--- a/tests/test_first_attempts.py
+++ b/tests/test_first_attempts.py
@@ -1,4 +1,4 @@
-"""Time since a caller's first attempt, estimated from the time that it states as left."""
+"""Time since a caller's first attempt, estimated from the remaining time that it states."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
     """State some times in turn; return the estimate for the last request."""
     elapsed = 0.0
     for _ in range(rounds):
-        for left in times:
-            elapsed = attempts.elapsed_since_first("read", left)
+        for remaining in times:
+            elapsed = attempts.elapsed_since_first("read", remaining)
     return elapsed
 
 
