--- a/dunlinnotch/coordination/settings/following.py
+++ b/dunlinnotch/coordination/settings/following.py
@@ -33,17 +33,19 @@
 _AFTER_CHANGE_DELAY_S = 0.4
 #: First and maximum delay after failed calls.
 _RETRY_DELAYS_S = (0.1, 0.8)
-#: Time between two attempts of all boxes of a place together while none reaches the store.
-#: Each box waits this time for each of them, so that calls do not grow with their number.
+#: Mean interval between the attempts of all boxes of a place together while none reaches the
+#: store.  Each box waits this interval times the number of live boxes of its place, so that
+#: the rate of calls does not grow with that number.
 _SHARED_RETRY_DELAY_S = 0.4
-#: A table counts as confirmed from at most this time before an answer arrived.
+#: Limit of the age that an answer is assumed to have on arrival.  The answer to a long poll is
+#: as current as its end, not as its start.
 _MAX_ANSWER_AGE_S = 0.3
 
 _log = logging.getLogger(__name__)
 
 
 class TableFollower:
-    """Read one table and its changes, in a task of its own.
+    """Read one table and its changes from the store, in a separate task.
 
     Parameters
     ----------
@@ -57,7 +59,7 @@
     Attributes
     ----------
     failing : bool
-        Whether the last call failed.
+        Whether the last call failed or returned an older version.
     """
 
     def __init__(
@@ -167,16 +169,18 @@
     async def _fetch_changes(self) -> TableDelta | None:
         """Return the changes since the last answer; None if a full snapshot is needed."""
         table = self._table
-        era, after = table.epoch, table.version
+        epoch, after = table.epoch, table.version
         wait = PRIMARY_POLL_TIMEOUT_S if self._mesh.is_primary_reader() else POLL_TIMEOUT_S
         async with asyncio.timeout(wait + _HUNG_MARGIN_S):
             changes = await self._source.changes(table.name, after, wait)
         if isinstance(changes, HistoryGone):
-            event(_log, "history-gone", table=table.name, era=era, after=after)
+            event(_log, "history-gone", table=table.name, era=epoch, after=after)
             return None
-        if changes.epoch not in (None, era):
+        if changes.epoch not in (None, epoch):
             # The new epoch reuses versions up to ``after``, and their rows were not returned.
-            event(_log, "store-back", table=table.name, era=changes.epoch, before=era, after=after)
+            event(
+                _log, "store-back", table=table.name, era=changes.epoch, before=epoch, after=after
+            )
             return None
         return changes
 
