--- a/dunlinnotch/coordination/settings/gate.py
+++ b/dunlinnotch/coordination/settings/gate.py
@@ -1,4 +1,4 @@
-"""Decides whether this box accepts new calls."""
+"""Accept or refuse new calls at this box."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
         self._membership = membership
         self._holder = holder
         self._clock = clock
-        self._count = threading.Lock()
+        self._lock = threading.Lock()
         self._in_flight = 0
         self.closed = False
 
@@ -50,7 +50,7 @@
 
     def enter(self) -> CallResult | None:
         """Accept and count a call, or return its refusal."""
-        with self._count:
+        with self._lock:
             refusal = self.refusal()
             if refusal is None:
                 self._in_flight += 1
@@ -58,12 +58,12 @@
 
     def leave(self) -> None:
         """Count a call as completed."""
-        with self._count:
+        with self._lock:
             self._in_flight -= 1
 
     def close_if_idle(self) -> bool:
         """Refuse new calls from now on if none is in flight; return whether closed."""
-        with self._count:
+        with self._lock:
             self.closed = self.closed or self._in_flight == 0
             return self.closed
 
--- a/dunlinnotch/coordination/settings/store_tables.py
+++ b/dunlinnotch/coordination/settings/store_tables.py
@@ -67,7 +67,7 @@
         self.unreadable_count = 0
 
     def with_active_settings(self, delta: TableDelta) -> TableDelta:
-        """Return a delta for a peer, with the active settings in place of older ones.
+        """Return a delta for a peer, with the row of the active settings instead of an older one.
 
         Notes
         -----
--- a/dunlinnotch/coordination/settings/tree.py
+++ b/dunlinnotch/coordination/settings/tree.py
@@ -129,19 +129,20 @@
         Raises
         ------
         PlatformUnavailableError
+            If the table can't be read or holds an invalid row.
         """
         requested_at = self._clock()
         row = self._platform.read(HEAD_KEY)
         head = _head_version(row)
         self.head_row_version = row.version if row is not None else 0
         try:
-            moved = self._catch_up(head)
+            changed = self._catch_up(head)
         except (ProtocolError, SettingsError) as error:
             # An invalid row must not crash every box that reads it.
             msg = f"the settings in the table can't be read: {error}"
             raise PlatformUnavailableError(msg) from None
         self.read_at = requested_at
-        return moved
+        return changed
 
     def _catch_up(self, head: Version) -> bool:
         start = self._holder.version
