--- a/dunlinnotch/coordination/membership/rows.py
+++ b/dunlinnotch/coordination/membership/rows.py
@@ -45,7 +45,7 @@
     Parameters
     ----------
     own : BoxRow
-        First row of this box.
+        Initial row of this box.
     holder : SettingsHolder
     clock : callable
         Returns monotonic seconds.
@@ -241,19 +241,19 @@
         return next((name for name in names if name > self._own.name), names[0])
 
     def _all_rows(self) -> list[BoxRow]:
-        return [self._own, *(known.row for known in self._received.values())]
+        return [self._own, *(received.row for received in self._received.values())]
 
     def _apply_row(self, row: BoxRow, now: Seconds) -> None:
         if row.name == self._own.name:
             self._check_replaced(row)
             return
-        known = self._received.get(row.name)
-        if known is not None and row.recency <= known.row.recency:
+        previous = self._received.get(row.name)
+        if previous is not None and row.recency <= previous.row.recency:
             return
         if (
-            known is None
-            or known.row.state is not row.state
-            or known.row.incarnation != row.incarnation
+            previous is None
+            or previous.row.state is not row.state
+            or previous.row.incarnation != row.incarnation
         ):
             event(
                 _log,
@@ -275,8 +275,8 @@
         now = self._clock()
         expired = [
             name
-            for name, known in self._received.items()
-            if now - known.received_at > self._forget_s and name not in self._listed
+            for name, received in self._received.items()
+            if now - received.received_at > self._forget_s and name not in self._listed
         ]
         for name in expired:
             event(_log, "box-forgotten", box=name)
