--- a/dunlinnotch/coordination/membership/mesh.py
+++ b/dunlinnotch/coordination/membership/mesh.py
@@ -43,6 +43,11 @@
 
 @dataclass(slots=True)
 class _Received:
+    """The latest heartbeat of a box, and when it was received, in monotonic seconds.
+
+    ``silent`` is set once the box has been logged as silent.
+    """
+
     heartbeat: Heartbeat
     at: Seconds
     silent: bool = False
@@ -184,7 +189,7 @@
 
     @property
     def max_boxes(self) -> int:
-        """Largest number of boxes that any box has known at once, over all places."""
+        """Sum over all places of the largest number of boxes known there at once by any box."""
         return sum(self._box_counts.values())
 
     def _update_box_counts(self, heartbeat: Heartbeat) -> None:
@@ -212,7 +217,7 @@
             table.confirm(state.changed, state.version, at=at, epoch=state.era)
 
     def newer_tables(self, heartbeat: Heartbeat) -> list[str]:
-        """Return the names of tables of which the sender has a newer version."""
+        """Return the names of the tables of which the sender has a newer version."""
         newer = []
         for name, state in heartbeat.tables.items():
             table = self._tables.get(name)
@@ -313,7 +318,7 @@
         return 1 + sum(heartbeat.place == self.place for heartbeat in self.live())
 
     def is_reader(self) -> bool:
-        """Return whether this box reads the store: as a follower, or as its tables are stale."""
+        """Return whether this box reads the store: it is a follower, or its tables are stale."""
         return self.is_follower() or self.stale()
 
     def is_primary_reader(self) -> bool:
--- a/dunlinnotch/coordination/membership/peer_selector.py
+++ b/dunlinnotch/coordination/membership/peer_selector.py
@@ -25,11 +25,11 @@
 _MAX_INTRODUCE_ALL = 32
 #: Largest number of boxes of its own place that a box sends heartbeats to.
 MAX_LOCAL_PEERS = 48
-#: Boxes of each other place that receive one heartbeat.
+#: Number of boxes of each other place that receive one heartbeat.
 _REMOTE_PER_PLACE = 1
-#: Boxes of each other place that a new box is introduced to.
+#: Number of boxes of each other place that a new box is introduced to.
 _REMOTE_INTRODUCED = 2
-#: Boxes of the own place that an update is sent to; they pass it on.
+#: Number of boxes of the same place that an update is sent to; they pass it on.
 _UPDATE_FANOUT = 6
 
 
--- a/tests/test_peer_selector.py
+++ b/tests/test_peer_selector.py
@@ -29,7 +29,7 @@
         assert {heartbeat.place for heartbeat in mesh.heartbeats()} == set(PLACES)
 
 
-def test_boxes_that_hear_part_of_their_place_know_the_number_of_boxes():
+def test_boxes_that_receive_heartbeats_of_part_of_their_place_know_the_number_of_boxes():
     boxes = Boxes(250).settled()
     assert {mesh.max_boxes for mesh in boxes.meshes.values()} == {250}
 
@@ -96,11 +96,11 @@
 def test_only_a_box_that_knows_a_place_offers_just_the_boxes_of_that_place():
     boxes = Boxes(142).settled()
     mesh = boxes.meshes["box-77"]
-    own = mesh.offered_addresses(mesh.place)
-    assert sorted(own) == sorted(f"{name}:1" for name in local_names(boxes, mesh))
+    local = mesh.offered_addresses(mesh.place)
+    assert sorted(local) == sorted(f"{name}:1" for name in local_names(boxes, mesh))
     # Few boxes of another place are known; offering just these would overload them.
     remote = mesh.offered_addresses(next(place for place in PLACES if place != mesh.place))
-    assert set(own) < set(remote)
+    assert set(local) < set(remote)
 
 
 def test_a_forwarded_heartbeat_keeps_its_age():
