--- a/dunlinnotch/coordination/membership/crash_gossip.py
+++ b/dunlinnotch/coordination/membership/crash_gossip.py
@@ -4,7 +4,7 @@
 them.  Each heartbeat carries the digest of the records that count towards a
 quarantine; a box that receives another digest than its own replies with its records.
 Quarantined requests are also stored in the platform's store, for boxes that reach no
-peer.  A store that was restored from a copy may have lost them, so they are then
+peer.  A store that was restored from a backup may have lost them, so they are then
 stored again.
 """
 
@@ -73,7 +73,7 @@
     send : callable
         Sends crash reports to peers.
     on_synced : callable
-        Called once this box holds the records from before its start.
+        Called once, when this box has obtained the records from before its start.
     epoch : callable
         Returns the epoch of the store: rows written in an earlier one may be lost.
     rng : random.Random
@@ -81,7 +81,7 @@
     Attributes
     ----------
     synced : bool
-        Whether this box holds the records from before its start.
+        Whether this box has obtained the records from before its start.
     """
 
     def __init__(
@@ -225,9 +225,9 @@
         elif epoch > self._stored_in_epoch and self._mesh.is_follower():
             self._stored_in_epoch = epoch
             quarantined = [
-                e.request
-                for e in self._records.conclusive
-                if e.consecutive_crashes >= QUARANTINE_THRESHOLD
+                record.request
+                for record in self._records.conclusive
+                if record.consecutive_crashes >= QUARANTINE_THRESHOLD
             ]
             self._to_store.update(quarantined)
 
--- a/dunlinnotch/coordination/membership/steering.py
+++ b/dunlinnotch/coordination/membership/steering.py
@@ -18,9 +18,9 @@
 
 #: Largest number of addresses in one answer.
 MAX_ADDRESSES = 3
-#: Factor on the mean load above which a box is put last.
+#: Multiple of the mean load above which a box is put last.
 _LOAD_FACTOR = 1.25
-#: Calls in flight added to that bound, so that small differences do not count.
+#: Number of calls added to that bound, so that small differences do not count.
 _LOAD_SLACK = 4.0
 #: Largest share by which the lifetime of an answer is shortened at random, so that answers
 #: do not expire together.
--- a/tests/test_crash_gossip.py
+++ b/tests/test_crash_gossip.py
@@ -158,7 +158,7 @@
 
 
 async def work(gossip, until):
-    """Let a box read and write its rows until a condition holds."""
+    """Let a box read and write its rows until a condition holds, at most 20 s."""
     task = asyncio.create_task(gossip.run())
     try:
         async with asyncio.timeout(20):
--- a/tests/test_steering.py
+++ b/tests/test_steering.py
@@ -14,8 +14,8 @@
 
 def answer(rows, *, tree=None, caller="branch-1", place="hall-a"):
     clock = FakeClock()
-    own = box_row("own", state=RunState.DRAINING)
-    members = Membership(own, holder=SettingsHolder(), clock=clock)
+    own_row = box_row("own", state=RunState.DRAINING)
+    members = Membership(own_row, holder=SettingsHolder(), clock=clock)
     members.apply(Sync("x", 1, 0, None, tuple(rows)), LinkState())
     steering = Steering(members, rng=random.Random(1))
     return steering.answer(tree or SettingsTree(), caller=caller, place=place)
