--- a/dunlinnotch/state/targets.py
+++ b/dunlinnotch/state/targets.py
@@ -54,13 +54,40 @@
         Calls that the target runs at once.
     sharers : float, default 1.0
         Number of boxes that send to this target, this one included.
+    flights : list of Flight
+        Calls of this box in flight at the target.
+    others_in_flight : float, default 0.0
+        Calls of other boxes in flight at the target, derived from its last report.
+    reported_at : float
+        Time of the last report.
+    report_shortfall : float, default 0.0
+        Moving average of the share of this box's calls that the target's reports lack.
+    error_load, error_at : float
+        Load charged for errors, in calls, and the time from which it decays.
+    errors_in_row : int, default 0
+        Consecutive errors.
+    ejected : bool, default False
+    next_trial_at : float
+        Time from which the next trial call may be sent while the target is ejected.
+    trial_running : bool, default False
+        Whether a trial call is in flight.
+    leaving : bool, default False
+        Whether the target is leaving, as it or a peer of this box reported.
+    reported_leaving : bool, default False
+        Whether the target itself reported to this box that it is leaving.
+    incarnation : str or None
+        Incarnation that the target reported last.
+    slow_start_at, slow_start_s : float
+        Beginning and duration of the slow start.
+    last_used : float
+        Time at which this box last sent a call to the target.
+    backoff_until : float
+        End of the back-off that the target requested.
 
     Notes
     -----
-    ``flights`` is exact.  ``others_in_flight`` is derived from the target's last report
-    and soon outdated, so :meth:`in_flight` lets it decay to the mean of all targets.
-    ``report_shortfall`` is the moving average of the share of this box's calls that the
-    target's reports lack.
+    Times are in monotonic seconds.  ``flights`` is exact.  ``others_in_flight`` is soon
+    outdated, so :meth:`in_flight` lets it decay to the mean of all targets.
     """
 
     address: Address
