--- a/dunlinnotch/state/targets.py
+++ b/dunlinnotch/state/targets.py
@@ -76,7 +76,7 @@
     reported_leaving : bool, default False
         Whether the target itself reported to this box that it is leaving.
     incarnation : str or None
-        Incarnation that the target reported last.
+        Incarnation that the target, or a peer of this box, reported last.
     slow_start_at, slow_start_s : float
         Beginning and duration of the slow start.
     last_used : float
