--- a/tests/test_crash_guard.py
+++ b/tests/test_crash_guard.py
@@ -1,4 +1,4 @@
-"""Which requests a box quarantines for crashing targets."""
+"""Guards which requests a box quarantines because they crash targets."""
 
 from __future__ import annotations
 
--- a/tests/test_instances.py
+++ b/tests/test_instances.py
@@ -76,12 +76,12 @@
     before.record_report(TargetReport(3, 3, 3), 0.5)
     before.failures, before.ejected_until, before.in_flight = 7, 99.0, 2
     instances.apply(listed(born=2000, sequence=0, slow_start_s=3.0), 1.0)
-    now = instances.find("i-1")
+    after = instances.find("i-1")
     assert before.removed
-    assert not now.removed
-    assert (now.report, now.failures, now.ejected_until, now.in_flight) == (None, 0, 0.0, 0)
-    assert now.slow_start_until == 4.0
-    assert now.start != before.start
+    assert not after.removed
+    assert (after.report, after.failures, after.ejected_until, after.in_flight) == (None, 0, 0.0, 0)
+    assert after.slow_start_until == 4.0
+    assert after.start != before.start
 
 
 def test_an_older_start_never_replaces_a_newer_one():
