--- a/benchmarks/_boxes.py
+++ b/benchmarks/_boxes.py
@@ -133,7 +133,7 @@
         self.tables[lead.name].apply(TableDelta("t", version, True, (row,)), at=self.clock.now)
         self.tell(lead, lead.update_peers())
 
-    def settled(self) -> Boxes:
+    def converge(self) -> Boxes:
         """Introduce all boxes and let them speak for a while; return self."""
         for _ in range(4):
             self.hello()  # Until a seed has answered.
--- a/benchmarks/links.py
+++ b/benchmarks/links.py
@@ -44,7 +44,7 @@
 
 def measure(count: int) -> LinkFigures:
     """Measure one size."""
-    boxes = Boxes(count).settled()
+    boxes = Boxes(count).converge()
     boxes.sent = boxes.sent_bytes = 0
     began = time.process_time()
     for _ in range(_BEATS):
--- a/tests/test_crash_gossip.py
+++ b/tests/test_crash_gossip.py
@@ -113,7 +113,7 @@
 
 @pytest.mark.parametrize("count", [3, 18, 142])
 def test_records_of_three_boxes_reach_most_boxes_at_once_and_all_within_four_heartbeats(count):
-    boxes = ReportingBoxes(count).settled()
+    boxes = ReportingBoxes(count).converge()
     for number, (target, span) in enumerate(TARGETS.items()):
         boxes.observe_crash(f"box-{number}", {target: span})
     assert boxes.quarantining() >= 0.9 * count
@@ -124,7 +124,7 @@
 
 @pytest.mark.parametrize("lost", [0.1, 0.4])
 def test_lost_datagrams_only_delay_a_quarantine(lost):
-    boxes = ReportingBoxes(40, lost=lost).settled()
+    boxes = ReportingBoxes(40, lost=lost).converge()
     for number, (target, span) in enumerate(TARGETS.items()):
         boxes.observe_crash(f"box-{number}", {target: span})
     intervals = 0
@@ -135,7 +135,7 @@
 
 
 def test_boxes_with_equal_digests_send_no_reports():
-    boxes = ReportingBoxes(18).settled()
+    boxes = ReportingBoxes(18).converge()
     for number, (target, span) in enumerate(TARGETS.items()):
         boxes.observe_crash(f"box-{number}", {target: span})
     for _ in range(6):
@@ -147,7 +147,7 @@
 
 
 def test_a_box_without_records_receives_them_in_reply_to_its_heartbeat():
-    boxes = ReportingBoxes(6).settled()
+    boxes = ReportingBoxes(6).converge()
     boxes.observe_crash("box-0", TARGETS)
     late = boxes.logs["box-5"]
     late._records.clear()
@@ -207,7 +207,7 @@
 def test_a_quarantine_that_results_from_records_of_several_boxes_is_stored():
     async def test():
         store = Rows()
-        boxes = ReportingBoxes(9, store=store).settled()
+        boxes = ReportingBoxes(9, store=store).converge()
         records = [
             boxes.logs[f"box-{number}"].record_crashes("worst", {target: span})
             for number, (target, span) in enumerate(TARGETS.items())
@@ -325,7 +325,7 @@
 def test_a_follower_without_live_boxes_in_another_place_reads_the_store():
     async def test():
         store = Rows()
-        boxes = ReportingBoxes(8, store=store).settled()
+        boxes = ReportingBoxes(8, store=store).converge()
         boxes.observe_crash("box-0", TARGETS)
         await work(boxes.gossip["box-0"], lambda: store.rows)
         # Its place receives no heartbeats any more, and missed the reports.
--- a/tests/test_peer_selector.py
+++ b/tests/test_peer_selector.py
@@ -21,7 +21,7 @@
 
 @pytest.mark.parametrize("lost", [0.0, 0.05])
 def test_every_box_knows_its_place_and_how_many_boxes_there_are(lost):
-    boxes = Boxes(142, lost=lost).settled()
+    boxes = Boxes(142, lost=lost).converge()
     for mesh in boxes.meshes.values():
         known = {heartbeat.name for heartbeat in mesh.live() if heartbeat.place == mesh.place}
         assert known | {mesh.name} == local_names(boxes, mesh)
@@ -30,13 +30,13 @@
 
 
 def test_boxes_that_hear_part_of_their_place_know_the_number_of_boxes():
-    boxes = Boxes(250).settled()
+    boxes = Boxes(250).converge()
     assert {mesh.max_boxes for mesh in boxes.meshes.values()} == {250}
 
 
 @pytest.mark.parametrize("lost", [0.0, 0.05])
 def test_an_update_reaches_every_box_within_two_heartbeats(lost):
-    boxes = Boxes(142, lost=lost).settled()
+    boxes = Boxes(142, lost=lost).converge()
     boxes.write(6)
     reached = sum(table.version == 6 for table in boxes.tables.values())
     assert reached > 0.2 * 142
@@ -46,7 +46,7 @@
 
 
 def test_each_place_has_one_reader_and_one_of_them_is_the_primary_reader():
-    boxes = Boxes(142).settled()
+    boxes = Boxes(142).converge()
     assert all(age < STALE_S for age in _ages(boxes))
     readers = [m for m in boxes.meshes.values() if m.is_reader()]
     assert sorted(m.place for m in readers) == sorted(PLACES)
@@ -59,7 +59,7 @@
 
 @pytest.mark.parametrize("count", [20, 142, 250])
 def test_the_number_of_heartbeats_per_interval_is_bounded(count):
-    boxes = Boxes(count).settled()
+    boxes = Boxes(count).converge()
     boxes.sent = 0
     boxes.beat()
     assert boxes.sent <= count * max(MAX_FULL_MESH, MAX_LOCAL_PEERS + 2 * len(PLACES))
@@ -70,7 +70,7 @@
 
 
 def test_few_boxes_send_to_all_others():
-    boxes = Boxes(MAX_FULL_MESH + 1).settled()
+    boxes = Boxes(MAX_FULL_MESH + 1).converge()
     for mesh in boxes.meshes.values():
         assert len(mesh.heartbeat_peers()) == MAX_FULL_MESH
         assert len(mesh.update_peers()) == MAX_FULL_MESH
@@ -80,7 +80,7 @@
 @pytest.mark.parametrize("lost", [0.0, 0.05])
 def test_a_system_above_the_full_mesh_limit_sends_mostly_within_its_places(lost):
     """Heartbeats of 18 boxes must not dominate the traffic between places."""
-    boxes = Boxes(18, lost=lost).settled()
+    boxes = Boxes(18, lost=lost).converge()
     for mesh in boxes.meshes.values():
         local = local_names(boxes, mesh) - {mesh.name}
         assert len(mesh.heartbeat_peers()) == len(local)
@@ -94,7 +94,7 @@
 
 
 def test_only_a_box_that_knows_a_place_offers_just_the_boxes_of_that_place():
-    boxes = Boxes(142).settled()
+    boxes = Boxes(142).converge()
     mesh = boxes.meshes["box-77"]
     own = mesh.offered_addresses(mesh.place)
     assert sorted(own) == sorted(f"{name}:1" for name in local_names(boxes, mesh))
@@ -104,7 +104,7 @@
 
 
 def test_a_forwarded_heartbeat_keeps_its_age():
-    boxes = Boxes(40).settled()
+    boxes = Boxes(40).converge()
     seed, other = boxes.meshes["box-0"], boxes.meshes["box-4"]
     seed.receive(other.own_heartbeat())
     before = boxes.tables["box-4"].verified_at
@@ -114,7 +114,7 @@
 
 
 def test_introductions_include_the_followers_of_the_store():
-    heartbeats = [m.own_heartbeat() for m in Boxes(142).settled().meshes.values()]
+    heartbeats = [m.own_heartbeat() for m in Boxes(142).converge().meshes.values()]
     chosen = PeerSelector("box-0", "ikeja", rng=random.Random(1)).introductions("ikeja", heartbeats)
     assert {heartbeat.place for heartbeat in chosen if heartbeat.follows} == set(PLACES)
     assert len(chosen) <= MAX_LOCAL_PEERS + 2 * (len(PLACES) - 1)
@@ -122,7 +122,7 @@
 
 def test_traffic_does_not_grow_while_no_box_can_read_the_store():
     """A place has one follower even if none of its boxes can read the store."""
-    boxes = Boxes(99).settled()
+    boxes = Boxes(99).converge()
     before = bytes_per_interval(boxes)
     for mesh in boxes.meshes.values():
         mesh.reading = False
