--- a/benchmarks/_boxes.py
+++ b/benchmarks/_boxes.py
@@ -114,7 +114,7 @@
                 [mesh.own_heartbeat(reply_requested=True)], [seed for seed in seeds if seed != name]
             )
 
-    def beat(self) -> None:
+    def exchange_heartbeats(self) -> None:
         """Let a turn go by, and each box tell its word."""
         self.clock.now += HEARTBEAT_INTERVAL_S
         for mesh in self.meshes.values():
@@ -137,8 +137,8 @@
         """Introduce all boxes and let them speak for a while; return self."""
         for _ in range(4):
             self.hello()  # Until a seed has answered.
-            self.beat()
+            self.exchange_heartbeats()
         self.write(_FIRST_VERSION)
         for _ in range(3):
-            self.beat()
+            self.exchange_heartbeats()
         return self
--- a/benchmarks/links.py
+++ b/benchmarks/links.py
@@ -48,7 +48,7 @@
     boxes.sent = boxes.sent_bytes = 0
     began = time.process_time()
     for _ in range(_BEATS):
-        boxes.beat()
+        boxes.exchange_heartbeats()
     took = time.process_time() - began
     seconds = _BEATS * HEARTBEAT_INTERVAL_S * count
     messages, sent = boxes.sent / seconds, boxes.sent_bytes / seconds
@@ -56,7 +56,7 @@
     reached = _known(boxes) / count
     turns = 0
     while _known(boxes) < count:
-        boxes.beat()
+        boxes.exchange_heartbeats()
         turns += 1
     return LinkFigures(count, messages, sent, took / seconds, reached, turns)
 
--- a/tests/test_crash_gossip.py
+++ b/tests/test_crash_gossip.py
@@ -103,7 +103,7 @@
 
     def beat_and_deliver(self):
         """Have all boxes send one heartbeat, and deliver all reports."""
-        self.beat()
+        self.exchange_heartbeats()
         self.deliver()
 
     def quarantining(self, request="worst"):
--- a/tests/test_peer_selector.py
+++ b/tests/test_peer_selector.py
@@ -40,8 +40,8 @@
     boxes.write(6)
     reached = sum(table.version == 6 for table in boxes.tables.values())
     assert reached > 0.2 * 142
-    boxes.beat()
-    boxes.beat()
+    boxes.exchange_heartbeats()
+    boxes.exchange_heartbeats()
     assert {table.version for table in boxes.tables.values()} == {6}
 
 
@@ -61,7 +61,7 @@
 def test_the_number_of_heartbeats_per_interval_is_bounded(count):
     boxes = Boxes(count).converge()
     boxes.sent = 0
-    boxes.beat()
+    boxes.exchange_heartbeats()
     assert boxes.sent <= count * max(MAX_FULL_MESH, MAX_LOCAL_PEERS + 2 * len(PLACES))
     max_peers = max(
         len(mesh.heartbeat_peers() + mesh.remote_peers()) for mesh in boxes.meshes.values()
@@ -88,8 +88,8 @@
         assert local <= {heartbeat.name for heartbeat in mesh.live()}
         assert mesh.max_boxes == 18
     boxes.write(6)
-    boxes.beat()
-    boxes.beat()
+    boxes.exchange_heartbeats()
+    boxes.exchange_heartbeats()
     assert {table.version for table in boxes.tables.values()} == {6}
 
 
@@ -127,7 +127,7 @@
     for mesh in boxes.meshes.values():
         mesh.reading = False
     for _ in range(8):
-        boxes.beat()
+        boxes.exchange_heartbeats()
     follower_places = [mesh.place for mesh in boxes.meshes.values() if mesh.is_follower()]
     assert sorted(follower_places) == sorted(PLACES)
     assert bytes_per_interval(boxes) < 1.2 * before
@@ -135,5 +135,5 @@
 
 def bytes_per_interval(boxes):
     boxes.sent_bytes = 0
-    boxes.beat()
+    boxes.exchange_heartbeats()
     return boxes.sent_bytes
