--- a/benchmarks/_boxes.py
+++ b/benchmarks/_boxes.py
@@ -106,7 +106,7 @@
         assert theirs.verified_at is not None
         mine.apply(theirs.delta_since(mine.version), at=theirs.verified_at)
 
-    def hello(self) -> None:
+    def introduce_all(self) -> None:
         """Have each box ask the seeds whom to know."""
         seeds = list(self.meshes)[:_SEEDS]
         for name, mesh in self.meshes.items():
@@ -136,7 +136,7 @@
     def converge(self) -> Boxes:
         """Introduce all boxes and let them speak for a while; return self."""
         for _ in range(4):
-            self.hello()  # Until a seed has answered.
+            self.introduce_all()  # Until a seed has answered.
             self.exchange_heartbeats()
         self.write(_FIRST_VERSION)
         for _ in range(3):
