--- a/benchmarks/_boxes.py
+++ b/benchmarks/_boxes.py
@@ -118,9 +118,9 @@
         """Let a turn go by, and each box tell its word."""
         self.clock.now += HEARTBEAT_INTERVAL_S
         for mesh in self.meshes.values():
-            self.tell(mesh, mesh.heartbeat_peers())
+            self.announce(mesh, mesh.heartbeat_peers())
 
-    def tell(self, mesh: Mesh, near: Sequence[str]) -> None:
+    def announce(self, mesh: Mesh, near: Sequence[str]) -> None:
         """Have a box tell its word near by and far away."""
         word = mesh.own_heartbeat()
         self.send([word], near)
@@ -131,7 +131,7 @@
         lead = next(m for m in self.meshes.values() if m.is_primary_reader())
         row = TableRow("k", version, b"v")
         self.tables[lead.name].apply(TableDelta("t", version, True, (row,)), at=self.clock.now)
-        self.tell(lead, lead.update_peers())
+        self.announce(lead, lead.update_peers())
 
     def converge(self) -> Boxes:
         """Introduce all boxes and let them speak for a while; return self."""
