--- a/benchmarks/_boxes.py
+++ b/benchmarks/_boxes.py
@@ -126,7 +126,7 @@
         self.send([word], near)
         self.send([word, *mesh.local_follower()], mesh.remote_peers())
 
-    def write(self, version: int) -> None:
+    def publish_version(self, version: int) -> None:
         """Have the lead read a new version and tell it, as a reader does."""
         lead = next(m for m in self.meshes.values() if m.is_primary_reader())
         row = TableRow("k", version, b"v")
@@ -138,7 +138,7 @@
         for _ in range(4):
             self.introduce_all()  # Until a seed has answered.
             self.exchange_heartbeats()
-        self.write(_FIRST_VERSION)
+        self.publish_version(_FIRST_VERSION)
         for _ in range(3):
             self.exchange_heartbeats()
         return self
--- a/benchmarks/links.py
+++ b/benchmarks/links.py
@@ -52,7 +52,7 @@
     took = time.process_time() - began
     seconds = _BEATS * HEARTBEAT_INTERVAL_S * count
     messages, sent = boxes.sent / seconds, boxes.sent_bytes / seconds
-    boxes.write(_NEWS_VERSION)
+    boxes.publish_version(_NEWS_VERSION)
     reached = _known(boxes) / count
     turns = 0
     while _known(boxes) < count:
--- a/tests/test_peer_selector.py
+++ b/tests/test_peer_selector.py
@@ -37,7 +37,7 @@
 @pytest.mark.parametrize("lost", [0.0, 0.05])
 def test_an_update_reaches_every_box_within_two_heartbeats(lost):
     boxes = Boxes(142, lost=lost).converge()
-    boxes.write(6)
+    boxes.publish_version(6)
     reached = sum(table.version == 6 for table in boxes.tables.values())
     assert reached > 0.2 * 142
     boxes.exchange_heartbeats()
@@ -87,7 +87,7 @@
         assert len(mesh.remote_peers()) <= 2 * (len(PLACES) - 1)
         assert local <= {heartbeat.name for heartbeat in mesh.live()}
         assert mesh.max_boxes == 18
-    boxes.write(6)
+    boxes.publish_version(6)
     boxes.exchange_heartbeats()
     boxes.exchange_heartbeats()
     assert {table.version for table in boxes.tables.values()} == {6}
