--- a/benchmarks/_boxes.py
+++ b/benchmarks/_boxes.py
@@ -83,9 +83,9 @@
             self.sent_bytes += sum(map(len, pack_messages(words)))
             if self.rng.random() >= self.lost:
                 for word in words:
-                    queue += self._take(peer, word)
+                    queue += self._receive(peer, word)
 
-    def _take(self, name: str, word: Heartbeat) -> list[tuple[Sequence[Heartbeat], str]]:
+    def _receive(self, name: str, word: Heartbeat) -> list[tuple[Sequence[Heartbeat], str]]:
         """Have a box take in a word; return what it sends because of it."""
         mesh = self.meshes[name]
         new = not mesh.is_known(word.name)
--- a/tests/test_crash_gossip.py
+++ b/tests/test_crash_gossip.py
@@ -85,9 +85,9 @@
             rng=rng,
         )
 
-    def _take(self, name, heartbeat):
+    def _receive(self, name, heartbeat):
         self.gossip[name].compare_digest(heartbeat)
-        return super()._take(name, heartbeat)
+        return super()._receive(name, heartbeat)
 
     def deliver(self):
         """Deliver reports until none is in transit."""
