--- a/benchmarks/_boxes.py
+++ b/benchmarks/_boxes.py
@@ -38,7 +38,7 @@
     ----------
     count : int
     seed : int, default 1
-    lost : float, default 0.0
+    loss_rate : float, default 0.0
         Share of the words that are lost.
 
     Attributes
@@ -47,10 +47,10 @@
         Messages, each of a word or a few, and their bytes.
     """
 
-    def __init__(self, count: int, *, seed: int = 1, lost: float = 0.0) -> None:
+    def __init__(self, count: int, *, seed: int = 1, loss_rate: float = 0.0) -> None:
         self.clock = Clock()
         self.rng = random.Random(seed)
-        self.lost = lost
+        self.loss_rate = loss_rate
         self.tables: dict[str, TableReplica] = {}
         self.meshes: dict[str, Mesh] = {}
         self.sent = 0
@@ -81,7 +81,7 @@
             words, peer = queue.pop(0)
             self.sent += 1
             self.sent_bytes += sum(map(len, pack_messages(words)))
-            if self.rng.random() >= self.lost:
+            if self.rng.random() >= self.loss_rate:
                 for word in words:
                     queue += self._receive(peer, word)
 
--- a/tests/test_crash_gossip.py
+++ b/tests/test_crash_gossip.py
@@ -58,7 +58,7 @@
     """Boxes that also send each other crash reports."""
 
     def __init__(self, count, *, lost=0.0, store=None):
-        super().__init__(count, lost=lost)
+        super().__init__(count, loss_rate=lost)
         self.store = store or Rows()
         self.report_bytes = 0
         self.queue = []
@@ -93,7 +93,7 @@
         """Deliver reports until none is in transit."""
         while self.queue:
             message, peer = self.queue.pop(0)
-            if self.rng.random() >= self.lost:
+            if self.rng.random() >= self.loss_rate:
                 self.gossip[peer].receive(message)
 
     def observe_crash(self, name, targets, *, request="worst"):
--- a/tests/test_peer_selector.py
+++ b/tests/test_peer_selector.py
@@ -19,9 +19,9 @@
     return {m.name for m in boxes.meshes.values() if m.place == mesh.place}
 
 
-@pytest.mark.parametrize("lost", [0.0, 0.05])
-def test_every_box_knows_its_place_and_how_many_boxes_there_are(lost):
-    boxes = Boxes(142, lost=lost).converge()
+@pytest.mark.parametrize("loss_rate", [0.0, 0.05])
+def test_every_box_knows_its_place_and_how_many_boxes_there_are(loss_rate):
+    boxes = Boxes(142, loss_rate=loss_rate).converge()
     for mesh in boxes.meshes.values():
         known = {heartbeat.name for heartbeat in mesh.live() if heartbeat.place == mesh.place}
         assert known | {mesh.name} == local_names(boxes, mesh)
@@ -34,9 +34,9 @@
     assert {mesh.max_boxes for mesh in boxes.meshes.values()} == {250}
 
 
-@pytest.mark.parametrize("lost", [0.0, 0.05])
-def test_an_update_reaches_every_box_within_two_heartbeats(lost):
-    boxes = Boxes(142, lost=lost).converge()
+@pytest.mark.parametrize("loss_rate", [0.0, 0.05])
+def test_an_update_reaches_every_box_within_two_heartbeats(loss_rate):
+    boxes = Boxes(142, loss_rate=loss_rate).converge()
     boxes.publish_version(6)
     reached = sum(table.version == 6 for table in boxes.tables.values())
     assert reached > 0.2 * 142
@@ -77,10 +77,10 @@
         assert mesh.remote_peers() == []
 
 
-@pytest.mark.parametrize("lost", [0.0, 0.05])
-def test_a_system_above_the_full_mesh_limit_sends_mostly_within_its_places(lost):
+@pytest.mark.parametrize("loss_rate", [0.0, 0.05])
+def test_a_system_above_the_full_mesh_limit_sends_mostly_within_its_places(loss_rate):
     """Heartbeats of 18 boxes must not dominate the traffic between places."""
-    boxes = Boxes(18, lost=lost).converge()
+    boxes = Boxes(18, loss_rate=loss_rate).converge()
     for mesh in boxes.meshes.values():
         local = local_names(boxes, mesh) - {mesh.name}
         assert len(mesh.heartbeat_peers()) == len(local)
