--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -34,7 +34,7 @@
     with tempfile.TemporaryDirectory() as directory, Fleet(Path(directory)) as fleet:
         fleet.start_platform()
         fleet.start_boxes({f"box-{n:02}": PLACES[n % 3] for n in range(boxes)})
-        fleet.wait_met(boxes)
+        fleet.wait_for_membership(boxes)
         targets = [f"127.0.0.1:{port}" for port in range(1, 31)]
         fleet.edit(
             "box-00",
--- a/benchmarks/daemons.py
+++ b/benchmarks/daemons.py
@@ -132,7 +132,7 @@
         fleet.start_platform()
         targets = fleet.start_targets(TARGETS, slots=SLOTS, work_ms=WORK_MS)
         fleet.start_boxes({f"box-{n}": "hall-a" for n in range(BOXES)})
-        fleet.wait_met(BOXES)
+        fleet.wait_for_membership(BOXES)
         fleet.edit(
             "box-0",
             Change("/", "boxes_max", str(BOXES)),
--- a/benchmarks/propagation.py
+++ b/benchmarks/propagation.py
@@ -62,7 +62,7 @@
     with tempfile.TemporaryDirectory() as directory, Fleet(Path(directory)) as fleet:
         fleet.start_platform()
         fleet.start_boxes({f"box-{n:02}": PLACES[n % 3] for n in range(arguments.boxes)})
-        fleet.wait_met(arguments.boxes)
+        fleet.wait_for_membership(arguments.boxes)
         names = sorted(fleet.boxes)
         well = PlatformFaults()
         scenes: dict[str, tuple[PlatformFaults, PlatformFaults]] = {
--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -114,7 +114,7 @@
         holdings = {place: fleet.start_targets(3) for place in PLACES}
         ingest = {place: fleet.start_targets(1) for place in PLACES}
         fleet.start_boxes({"box-1": "hall-a", "box-2": "hall-b", "box-3": "hall-a"})
-        fleet.wait_met(3)
+        fleet.wait_for_membership(3)
         for place in PLACES:
             for number, address in enumerate((*holdings[place], *ingest[place]), 1):
                 self.names[address] = f"{place}/target-{number}"
--- a/demo/fleet.py
+++ b/demo/fleet.py
@@ -250,7 +250,7 @@
         edit = Edit(uuid.uuid4().hex, client.tree().version, "demo", changes)
         return client.edit(EditRequest(edit, wait_s))
 
-    def wait_met(self, count: int) -> None:
+    def wait_for_membership(self, count: int) -> None:
         """Wait until each box knows ``count`` boxes."""
         for name in self.boxes:
             wait_until(partial(self._knows, name, count), what=f"{name} knows {count} boxes")
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -37,7 +37,7 @@
         fleet.start_platform()
         targets = fleet.start_targets(2)
         fleet.start_boxes({"box-1": "hall-a", "box-2": "hall-b"})
-        fleet.wait_met(2)
+        fleet.wait_for_membership(2)
         fleet.edit(
             "box-1",
             Change("/", "boxes_max", "3"),
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -25,7 +25,7 @@
         targets = fleet.start_targets(2)
         places = {"box-1": "hall-a", "box-2": "hall-b", "box-3": "hall-a"}
         fleet.start_boxes(places, extra=SHORT_PEER_TIMEOUTS)
-        fleet.wait_met(3)
+        fleet.wait_for_membership(3)
         fleet.edit(
             "box-1",
             *place_changes("hall-a", "holdings", targets),
