--- a/benchmarks/propagation.py
+++ b/benchmarks/propagation.py
@@ -75,12 +75,12 @@
             print(title)
             times = []
             for number in range(arguments.rounds):
-                fleet.set_platform(before)
+                fleet.set_platform_faults(before)
                 name = names[(number * 7) % len(names)]
                 times.append(
-                    one_edit(fleet, name, number % 10, lambda a=after: fleet.set_platform(a))  # type: ignore[misc]
+                    one_edit(fleet, name, number % 10, lambda a=after: fleet.set_platform_faults(a))  # type: ignore[misc]
                 )
-                fleet.set_platform(well)
+                fleet.set_platform_faults(well)
             times.sort()
             print(
                 f"  {title}: from asking to accepted by all, p50 "
--- a/demo/fleet.py
+++ b/demo/fleet.py
@@ -222,7 +222,7 @@
         listed = tuple(ListedBox(box.name, box.peer) for box in boxes)
         self.post(self.platform_faults, "/boxes", listed)
 
-    def set_platform(self, faults: PlatformFaults) -> None:
+    def set_platform_faults(self, faults: PlatformFaults) -> None:
         """Put faults in force at the platform."""
         self.post(self.platform_faults, "/faults", faults)
 
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -72,19 +72,19 @@
     status, _, errors = tool("status", at="127.0.0.1:1")
     assert status == Exit.UNAVAILABLE
     assert "box-unreachable" in errors
-    fleet.set_platform(PlatformFaults(down=True))
+    fleet.set_platform_faults(PlatformFaults(down=True))
     try:
         assert tool("settings set hall-z rank=3")[0] == Exit.UNAVAILABLE
     finally:
-        fleet.set_platform(PlatformFaults())
+        fleet.set_platform_faults(PlatformFaults())
 
 
 def test_an_edit_with_unknown_result_is_retried_by_its_id(tool, fleet):
-    fleet.set_platform(PlatformFaults(lose_answers=99, stale=True))
+    fleet.set_platform_faults(PlatformFaults(lose_answers=99, stale=True))
     status, _, errors = tool("settings set hall-z rank=4")
     assert status == Exit.UNKNOWN
     edit_id = errors.split("--id ")[1].split()[0]
-    fleet.set_platform(PlatformFaults())
+    fleet.set_platform_faults(PlatformFaults())
     status, out, _ = tool(f"settings set hall-z rank=4 --id {edit_id}")
     assert status == Exit.OK
     assert "accepted" in out
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -77,7 +77,7 @@
 
 
 def test_box_started_during_a_table_outage_gets_the_settings_from_peers(three_boxes):
-    three_boxes.set_platform(PlatformFaults(down=True))
+    three_boxes.set_platform_faults(PlatformFaults(down=True))
     box = three_boxes.boxes["box-3"]
     box.process.end()
     three_boxes.restart_box("box-3")
@@ -90,7 +90,7 @@
     assert refused.status is EditStatus.UNAVAILABLE
     client = CallerClient([box.caller], caller="c")
     assert lookup(client).outcome is Outcome.ANSWERED
-    three_boxes.set_platform(PlatformFaults())
+    three_boxes.set_platform_faults(PlatformFaults())
     assert three_boxes.edit("box-1", Change("hall-a", "rank", "4")).status is EditStatus.ACCEPTED
 
 
