--- a/benchmarks/daemons.py
+++ b/benchmarks/daemons.py
@@ -120,7 +120,7 @@
                 slow[index] = not slow[index]
                 ends[index] = now + rng.expovariate(1 / (SLOW_S if slow[index] else FULL_S))
                 slowness = 1 / SLOW_SPEED if slow[index] else 1.0
-                fleet.set_target(index, TargetFaults(slowness=slowness))
+                fleet.set_target_faults(index, TargetFaults(slowness=slowness))
 
 
 def main() -> None:
--- a/demo/fleet.py
+++ b/demo/fleet.py
@@ -226,7 +226,7 @@
         """Put faults in force at the platform."""
         self.post(self.platform_faults, "/faults", faults)
 
-    def set_target(self, index: int, faults: TargetFaults) -> None:
+    def set_target_faults(self, index: int, faults: TargetFaults) -> None:
         """Put faults in force at a target."""
         self.post(self.targets[index].faults, "/faults", faults)
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -54,7 +54,7 @@
 
     def set_faults(target_faults):
         for index in range(len(fleet.targets)):
-            fleet.set_target(index, target_faults)
+            fleet.set_target_faults(index, target_faults)
 
     yield set_faults
     set_faults(TargetFaults())
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -114,7 +114,7 @@
 
 def test_truncated_answer_is_retried_or_reported_to_the_caller(three_boxes):
     for index in range(2):
-        three_boxes.set_target(index, TargetFaults(cut=1))
+        three_boxes.set_target_faults(index, TargetFaults(cut=1))
     client = CallerClient([b.caller for b in three_boxes.boxes.values()], caller="c")
     results = [lookup(client) for _ in range(4)]
     assert all(r.outcome is Outcome.ANSWERED or r.status in (0, 502) for r in results)
--- a/tests/test_system.py
+++ b/tests/test_system.py
@@ -64,7 +64,7 @@
 
 def test_lookup_without_an_answer_is_retried_at_another_target(fleet, client, set_target_faults):
     set_target_faults(TargetFaults(drop=1))
-    fleet.set_target(1, TargetFaults())
+    fleet.set_target_faults(1, TargetFaults())
     request = Request(**{**_fields(LOOKUP), "headers": {"X-Mark": "again"}})
     results = [client.call(request) for _ in range(4)]
     assert {r.outcome for r in results} == {Outcome.ANSWERED}
