--- a/demo/fleet.py
+++ b/demo/fleet.py
@@ -77,7 +77,7 @@
         if self.popen.poll() is None:
             os.kill(self.popen.pid, number)
 
-    def end(self) -> None:
+    def kill(self) -> None:
         """Kill the process and reap it."""
         self.signal(signal.SIGKILL)
         self.popen.wait()
@@ -139,7 +139,7 @@
 
     def __exit__(self, *_: object) -> None:
         for process in self.processes:
-            process.end()
+            process.kill()
         if self._before is not None:
             signal.signal(signal.SIGTERM, self._before)
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -52,7 +52,7 @@
         [b.caller for b in three_boxes.boxes.values()], caller="c", place="hall-b"
     )
     assert lookup(client).box == "box-2"
-    three_boxes.boxes["box-2"].process.end()
+    three_boxes.boxes["box-2"].process.kill()
     assert lookup(client).outcome is Outcome.ANSWERED
     three_boxes.restart_box("box-2")
     client.invalidate_addresses()
@@ -79,7 +79,7 @@
 def test_box_started_during_a_table_outage_gets_the_settings_from_peers(three_boxes):
     three_boxes.set_platform_faults(PlatformFaults(down=True))
     box = three_boxes.boxes["box-3"]
-    box.process.end()
+    box.process.kill()
     three_boxes.restart_box("box-3")
     newest = max(three_boxes.operator("box-1").status().version, 1)
     wait_until(
