--- a/demo/fleet.py
+++ b/demo/fleet.py
@@ -72,14 +72,14 @@
     popen: subprocess.Popen[bytes]
     log: Path
 
-    def signal(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         """Send a signal to this process alone."""
         if self.popen.poll() is None:
             os.kill(self.popen.pid, number)
 
     def kill(self) -> None:
         """Kill the process and reap it."""
-        self.signal(signal.SIGKILL)
+        self.send_signal(signal.SIGKILL)
         self.popen.wait()
 
 
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -66,11 +66,11 @@
 
 def test_edit_is_pending_until_a_paused_box_resumes(three_boxes):
     box = three_boxes.boxes["box-3"]
-    box.process.signal(signal.SIGSTOP)
+    box.process.send_signal(signal.SIGSTOP)
     result = three_boxes.edit("box-1", Change("hall-a", "rank", "3"), wait_s=4.0)
     assert result.status is EditStatus.PENDING
     assert result.missing == ("box-3",)
-    box.process.signal(signal.SIGCONT)
+    box.process.send_signal(signal.SIGCONT)
     wait_for_version(three_boxes, result.version)
     direct = CallerClient([box.caller], caller="c")
     assert lookup(direct).outcome is Outcome.ANSWERED
@@ -97,7 +97,7 @@
 def test_loan_at_a_paused_target_is_unknown_and_runs_at_most_once(three_boxes):
     mark = "paused-loan"
     for index in range(2):
-        three_boxes.targets[index].process.signal(signal.SIGSTOP)
+        three_boxes.targets[index].process.send_signal(signal.SIGSTOP)
     client = CallerClient([b.caller for b in three_boxes.boxes.values()], caller="c")
     entry = client.addresses().addresses[0]
     request = Request(
@@ -106,7 +106,7 @@
     key = entry.once_stem + mark
     outcomes = [client.send(request, entry, key).outcome for _ in range(3)]
     for index in range(2):
-        three_boxes.targets[index].process.signal(signal.SIGCONT)
+        three_boxes.targets[index].process.send_signal(signal.SIGCONT)
     assert set(outcomes) == {Outcome.UNKNOWN}
     assert sum(three_boxes.report(i).runs.get(mark, 0) for i in range(2)) <= 1
     assert lookup(client).outcome is Outcome.ANSWERED
--- a/tests/test_system.py
+++ b/tests/test_system.py
@@ -139,7 +139,7 @@
         client = CallerClient([box.caller], caller="x")
         late = pool.submit(client.send, LOOKUP, entry, None)
         wait_until(lambda: OperatorClient([box.operator]).status().in_flight, what="the call")
-        box.process.signal(signal.SIGTERM)
+        box.process.send_signal(signal.SIGTERM)
         assert late.result().outcome is Outcome.ANSWERED
     wait_until(lambda: box.process.popen.poll() is not None, what="box-3 has ended")
     assert box.process.popen.returncode == 0
