--- a/demo/fleet.py
+++ b/demo/fleet.py
@@ -230,7 +230,7 @@
         """Put faults in force at a target."""
         self.post(self.targets[index].faults, "/faults", faults)
 
-    def report(self, index: int) -> TargetReport:
+    def target_report(self, index: int) -> TargetReport:
         """Return what a target has done."""
         response = self.http.request("GET", f"http://{self.targets[index].faults}/report")
         return _codec.from_json(TargetReport, response.data)
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -108,7 +108,7 @@
     for index in range(2):
         three_boxes.targets[index].process.send_signal(signal.SIGCONT)
     assert set(outcomes) == {Outcome.UNKNOWN}
-    assert sum(three_boxes.report(i).runs.get(mark, 0) for i in range(2)) <= 1
+    assert sum(three_boxes.target_report(i).runs.get(mark, 0) for i in range(2)) <= 1
     assert lookup(client).outcome is Outcome.ANSWERED
 
 
--- a/tests/test_system.py
+++ b/tests/test_system.py
@@ -36,7 +36,7 @@
 
 
 def runs(fleet, mark):
-    return sum(fleet.report(i).runs.get(mark, 0) for i in range(len(fleet.targets)))
+    return sum(fleet.target_report(i).runs.get(mark, 0) for i in range(len(fleet.targets)))
 
 
 def test_each_call_gets_its_own_complete_answer(fleet, client):
@@ -197,7 +197,7 @@
 
 
 def cancelled(fleet):
-    return sum(fleet.report(i).cancelled for i in range(len(fleet.targets)))
+    return sum(fleet.target_report(i).cancelled for i in range(len(fleet.targets)))
 
 
 def _fields(request):
