--- a/demo/__init__.py
+++ b/demo/__init__.py
@@ -1,1 +1,1 @@
-"""A small system of plain processes on loopback, for the demo, tests and benchmarks."""
+"""A small system of processes on loopback addresses, for the demo, tests and benchmarks."""
--- a/demo/fleet.py
+++ b/demo/fleet.py
@@ -1,7 +1,8 @@
-"""Start platform, targets and boxes as plain processes, and end just these.
+"""Start the platform stand-in, targets and boxes as processes, and stop exactly these.
 
-All listen on one loopback address drawn for the run, so that neither another
-run nor an outgoing connection can take a port between its choice and its use.
+All processes listen on one loopback address that is chosen at random for each
+run.  This prevents another run or an outgoing connection from taking a port
+between its allocation and its use.
 """
 
 from __future__ import annotations
@@ -37,55 +38,72 @@
 
 T = TypeVar("T")
 
-_READY_S = 20.0
-_LOOK_S = 0.02
+_READY_TIMEOUT_S = 20.0
+_POLL_INTERVAL_S = 0.02
 
 
-def wait_until(condition: Callable[[], T], *, what: str, timeout: float = _READY_S) -> T:
-    """Return the first true value of ``condition``.
+def wait_until(condition: Callable[[], T], *, what: str, timeout: float = _READY_TIMEOUT_S) -> T:
+    """Poll ``condition`` and return its first true value.
+
+    Parameters
+    ----------
+    condition : callable
+    what : str
+        Description of the condition, for the error message.
+    timeout : float
+        In seconds.
 
     Raises
     ------
     TimeoutError
-        Names what was waited for.
+        If the condition did not become true in time.
     """
-    until = time.monotonic() + timeout
-    while time.monotonic() < until:
+    deadline = time.monotonic() + timeout
+    while time.monotonic() < deadline:
         value = condition()
         if value:
             return value
-        time.sleep(_LOOK_S)
-    msg = f"not within {timeout} s: {what}"
+        time.sleep(_POLL_INTERVAL_S)
+    msg = f"timed out after {timeout} s waiting for: {what}"
     raise TimeoutError(msg)
 
 
 def _exit_by_signal(number: int, _: object) -> None:
-    """End the process as an error would, so that what it started is ended too."""
+    """Raise SystemExit, so that the context manager stops the child processes."""
     raise SystemExit(128 + number)
 
 
 @dataclass(slots=True)
 class Process:
-    """One process of the fleet."""
+    """A child process and its log file."""
 
     name: str
     popen: subprocess.Popen[bytes]
     log: Path
 
     def send_signal(self, number: signal.Signals) -> None:
-        """Send a signal to this process alone."""
+        """Send a signal to the process if it is running."""
         if self.popen.poll() is None:
             os.kill(self.popen.pid, number)
 
     def kill(self) -> None:
-        """Kill the process and reap it."""
+        """Kill the process and wait for its exit."""
         self.send_signal(signal.SIGKILL)
         self.popen.wait()
 
 
 @dataclass(slots=True)
 class TargetProcess:
-    """A target with its ports."""
+    """A target process with the addresses that it listens on.
+
+    Parameters
+    ----------
+    process : Process
+    address : str
+        For requests.
+    faults : str
+        For setting faults and reading the report.
+    """
 
     process: Process
     address: str
@@ -94,7 +112,17 @@
 
 @dataclass(slots=True)
 class BoxProcess:
-    """A box with its ports."""
+    """A box process with the addresses that it listens on.
+
+    Parameters
+    ----------
+    process : Process
+    name, place : str
+    caller, peer, operator : str
+        Addresses for callers, other boxes and operators.
+    settings : Path
+        The INI file.
+    """
 
     process: Process
     name: str
@@ -107,12 +135,29 @@
 
 @dataclass(slots=True)
 class Fleet:
-    """A running system.
+    """A system of processes; use it as a context manager, which kills them at exit.
 
     Parameters
     ----------
     directory : Path
-        For settings and logs.
+        For settings files and logs.
+
+    Attributes
+    ----------
+    boxes : dict
+        Boxes by name.
+    targets : list of TargetProcess
+    platform, platform_faults : str
+        Addresses of the platform stand-in: for boxes, and for setting faults.
+    processes : list of Process
+        All processes started.
+    statsd : str
+        Address of a statsd server that boxes send metrics to; empty for none.
+    allocated : set of str
+        Addresses returned by :meth:`free_addresses`.
+    http : urllib3.PoolManager
+    host : str
+        Loopback address of all listeners.
     """
 
     directory: Path
@@ -122,8 +167,8 @@
     platform_faults: str = ""
     processes: list[Process] = field(default_factory=list)
     statsd: str = ""
-    given: set[str] = field(default_factory=set)
-    _before: Any = None
+    allocated: set[str] = field(default_factory=set)
+    _previous_handler: Any = None
     http: urllib3.PoolManager = field(
         default_factory=lambda: urllib3.PoolManager(retries=False, timeout=10.0)
     )
@@ -132,30 +177,38 @@
     )
 
     def __enter__(self) -> Fleet:
-        # Without this, a time limit that ends the tool leaves its processes running.
+        # The default action of SIGTERM would leave the child processes running.
         if threading.current_thread() is threading.main_thread():
-            self._before = signal.signal(signal.SIGTERM, _exit_by_signal)
+            self._previous_handler = signal.signal(signal.SIGTERM, _exit_by_signal)
         return self
 
     def __exit__(self, *_: object) -> None:
         for process in self.processes:
             process.kill()
-        if self._before is not None:
-            signal.signal(signal.SIGTERM, self._before)
+        if self._previous_handler is not None:
+            signal.signal(signal.SIGTERM, self._previous_handler)
 
     def free_addresses(self, count: int) -> list[str]:
-        """Return addresses with ports from the kernel, none of them given out before."""
-        found: list[str] = []
-        while len(found) < count:
+        """Return addresses with free ports; none has been returned before."""
+        addresses: list[str] = []
+        while len(addresses) < count:
             with socket.create_server((self.host, 0)) as sock:
                 address = f"{self.host}:{sock.getsockname()[1]}"
-            if address not in self.given:
-                self.given.add(address)
-                found.append(address)
-        return found
+            if address not in self.allocated:
+                self.allocated.add(address)
+                addresses.append(address)
+        return addresses
 
     def start(self, name: str, *arguments: str) -> Process:
-        """Start a Python module of the package."""
+        """Run a Python module as a process.
+
+        Parameters
+        ----------
+        name : str
+            Names the process and its log file.
+        *arguments : str
+            The module and its command-line arguments.
+        """
         log = self.directory / f"{name}.log"
         with log.open("ab") as out:
             popen = subprocess.Popen(
@@ -166,7 +219,7 @@
         return process
 
     def start_platform(self) -> None:
-        """Start the platform's stand-in."""
+        """Start the platform stand-in and wait until it listens."""
         self.platform, self.platform_faults = self.free_addresses(2)
         process = self.start(
             "platform",
@@ -179,8 +232,22 @@
         self._wait_listening(process, self.platform_faults)
 
     def start_targets(self, count: int, *, slots: int = 6, work_ms: float = 6.0) -> list[str]:
-        """Start targets; return their addresses."""
-        started = []
+        """Start targets and wait until they listen.
+
+        Parameters
+        ----------
+        count : int
+        slots : int, default 6
+            Requests that a target processes at once.
+        work_ms : float, default 6.0
+            Mean processing time of a request, in milliseconds.
+
+        Returns
+        -------
+        list of str
+            The addresses of the targets.
+        """
+        new_targets = []
         for _ in range(count):
             address, faults = self.free_addresses(2)
             process = self.start(
@@ -190,13 +257,21 @@
                 *("--slots", str(slots), "--work-ms", str(work_ms)),
             )
             self.targets.append(TargetProcess(process, address, faults))
-            started.append(self.targets[-1])
-        for target in started:
+            new_targets.append(self.targets[-1])
+        for target in new_targets:
             self._wait_listening(target.process, target.faults)
-        return [target.address for target in started]
+        return [target.address for target in new_targets]
 
     def start_boxes(self, places: dict[str, str], *, extra: str = "") -> None:
-        """Start boxes, given as name and place, and list them at the platform."""
+        """Register boxes with the platform, start them and wait until they listen.
+
+        Parameters
+        ----------
+        places : dict
+            The place of each box, by name.
+        extra : str, default ""
+            Lines appended to the INI file of each box.
+        """
         for name, place in places.items():
             caller, peer, operator = self.free_addresses(3)
             settings = self.directory / f"{name}.ini"
@@ -211,41 +286,57 @@
             self._wait_listening(self.boxes[name].process, self.boxes[name].operator)
 
     def restart_box(self, name: str, *, wait: bool = True) -> None:
-        """Start the process of a box that is not running."""
+        """Start the process of a box that is not running.
+
+        Parameters
+        ----------
+        name : str
+        wait : bool, default True
+            Wait until it listens.
+        """
         box = self.boxes[name]
         box.process = self.start(name, "dunlinnotch.daemon", "--settings", str(box.settings))
         if wait:
             self._wait_listening(box.process, box.operator)
 
     def list_boxes(self, boxes: Iterable[BoxProcess]) -> None:
-        """Set the platform's list."""
-        listed = tuple(ListedBox(box.name, box.peer) for box in boxes)
-        self.post(self.platform_faults, "/boxes", listed)
+        """Set the list of boxes at the platform stand-in."""
+        listed_boxes = tuple(ListedBox(box.name, box.peer) for box in boxes)
+        self.post(self.platform_faults, "/boxes", listed_boxes)
 
     def set_platform_faults(self, faults: PlatformFaults) -> None:
-        """Put faults in force at the platform."""
+        """Set the faults of the platform stand-in."""
         self.post(self.platform_faults, "/faults", faults)
 
     def set_target_faults(self, index: int, faults: TargetFaults) -> None:
-        """Put faults in force at a target."""
+        """Set the faults of a target, given by its index in ``targets``."""
         self.post(self.targets[index].faults, "/faults", faults)
 
     def target_report(self, index: int) -> TargetReport:
-        """Return what a target has done."""
+        """Return the report of a target, given by its index in ``targets``."""
         response = self.http.request("GET", f"http://{self.targets[index].faults}/report")
         return _codec.from_json(TargetReport, response.data)
 
     def post(self, address: str, path: str, value: object) -> bytes:
-        """Send JSON to a fault port."""
+        """Send a value as JSON and return the body of the answer."""
         body = _codec.to_json(value)
         return self.http.request("POST", f"http://{address}{path}", body=body).data
 
     def operator(self, name: str) -> OperatorClient:
-        """Return a client of one box's operator port."""
+        """Return a client for the operator address of a box."""
         return OperatorClient([self.boxes[name].operator])
 
     def edit(self, name: str, *changes: Change, wait_s: float = 20.0) -> EditResult:
-        """Make an edit by way of one box."""
+        """Apply an edit to the settings tree through a box.
+
+        Parameters
+        ----------
+        name : str
+            The box.
+        *changes : Change
+        wait_s : float, default 20.0
+            Maximum time to wait until all boxes have applied the edit, in seconds.
+        """
         client = self.operator(name)
         edit = Edit(uuid.uuid4().hex, client.tree().version, "demo", changes)
         return client.edit(EditRequest(edit, wait_s))
@@ -253,9 +344,9 @@
     def wait_for_membership(self, count: int) -> None:
         """Wait until each box knows ``count`` boxes."""
         for name in self.boxes:
-            wait_until(partial(self._knows, name, count), what=f"{name} knows {count} boxes")
+            wait_until(partial(self._knows_boxes, name, count), what=f"{name} knows {count} boxes")
 
-    def _knows(self, name: str, count: int) -> bool:
+    def _knows_boxes(self, name: str, count: int) -> bool:
         return len(self.operator(name).status().rows) >= count
 
     def _write_settings(self, box: BoxProcess, extra: str) -> None:
@@ -274,7 +365,10 @@
 
         def listening() -> bool:
             if process.popen.poll() is not None:
-                msg = f"{process.name} ended: {process.log.read_text(encoding='utf-8')[-2000:]}"
+                msg = (
+                    f"{process.name} exited before it listened at {address}: "
+                    f"{process.log.read_text(encoding='utf-8')[-2000:]}"
+                )
                 raise RuntimeError(msg)
             try:
                 socket.create_connection((host, int(port)), 1.0).close()
@@ -288,13 +382,22 @@
 def place_changes(
     place: str, service: str, targets: Iterable[str], **settings: object
 ) -> tuple[Change, ...]:
-    """Return the changes that put a service into a place."""
+    """Return the changes that configure a service in a place.
+
+    Parameters
+    ----------
+    place, service : str
+    targets : iterable of str
+        Addresses.
+    **settings : object
+        Settings of the node by name.
+    """
     path = f"{place}/{service}"
     values = {"targets": ", ".join(targets), **{n: str(v) for n, v in settings.items()}}
     return tuple(Change(path, name, value) for name, value in values.items())
 
 
 def kind_changes(service: str, kind: str, **settings: object) -> tuple[Change, ...]:
-    """Return the changes that define a request kind in every place."""
+    """Return the changes that configure a request kind in every place."""
     path = f"*/{service}/{kind}"
     return tuple(Change(path, name, str(value)) for name, value in settings.items())
