--- a/demo/__main__.py
+++ b/demo/__main__.py
@@ -1,10 +1,10 @@
-"""Run the main job on embedded stand-ins and show what each step did.
+"""Demonstrate the load balancer on stand-ins: ``python -m demo``.
 
-Platform, targets of two services in two places and three boxes run as plain
-processes of their own.  Callers send lookups and loan requests while a weight
-is changed and a box and a target are drained.  Then two entry
-boxes show the same on the users' platform.  Ends by itself within 30 s;
-the exit status is 1 if a call was lost.
+The platform stand-in, targets of two services in two places and three boxes run
+as processes.  Callers send lookups and loan requests while a weight is changed
+and a box and a target are drained.  Two entry boxes then do the same on
+stand-ins of the users' platform.  The demo ends by itself within 30 s.  Its exit
+status is 1 if a call or a check failed.
 """
 
 from __future__ import annotations
@@ -32,7 +32,15 @@
 
 @dataclass(slots=True)
 class Tally:
-    """What callers saw in one step."""
+    """Counts of the calls made in one step.
+
+    Parameters
+    ----------
+    calls, boxes, targets : Counter
+        Calls by service and kind, by box and by target.
+    lost : list of str
+        Descriptions of the calls without a correct answer.
+    """
 
     calls: Counter[str] = field(default_factory=Counter)
     boxes: Counter[str] = field(default_factory=Counter)
@@ -41,7 +49,13 @@
 
 
 class Callers:
-    """Callers that ask for addresses, keep the answer and connect there."""
+    """Threads that call through boxes until they are stopped.
+
+    Parameters
+    ----------
+    boxes : list of str
+        Caller addresses of the boxes.
+    """
 
     def __init__(self, boxes: list[str]) -> None:
         self._boxes = boxes
@@ -53,18 +67,18 @@
         ]
 
     def start(self) -> None:
-        """Start calling."""
+        """Start the threads."""
         for thread in self._threads:
             thread.start()
 
     def stop(self) -> None:
-        """Stop after the calls in flight."""
+        """Stop the threads once their current calls have ended."""
         self._stopped.set()
         for thread in self._threads:
             thread.join()
 
-    def take(self) -> Tally:
-        """Return the tally since the last one was taken."""
+    def take_tally(self) -> Tally:
+        """Return the tally since the previous call of this method, and start a new one."""
         with self._lock:
             tally, self._tally = self._tally, Tally()
             return tally
@@ -75,32 +89,44 @@
         count = 0
         while not self._stopped.is_set():
             count += 1
-            loan = count % 4 == 0
+            is_loan = count % 4 == 0
             mark = f"{number}-{count}"
             request = Request(
                 service="holdings" if count % 3 else "ingest",
-                kind=("loan" if loan else "lookup") if count % 3 else "search",
-                method="POST" if loan and count % 3 else "GET",
-                body=b"{}" if loan and count % 3 else None,
+                kind=("loan" if is_loan else "lookup") if count % 3 else "search",
+                method="POST" if is_loan and count % 3 else "GET",
+                body=b"{}" if is_loan and count % 3 else None,
                 headers={"X-Mark": mark},
-                at_most_once=bool(loan and count % 3),
+                at_most_once=bool(is_loan and count % 3),
             )
-            self._note(client, request, mark)
+            self._send(client, request, mark)
 
-    def _note(self, client: CallerClient, request: Request, mark: str) -> None:
+    def _send(self, client: CallerClient, request: Request, mark: str) -> None:
         result = client.call(request)
-        answered = result.outcome is Outcome.ANSWERED and result.status == 200
-        own = answered and json.loads(result.data)["mark"] == mark
+        succeeded = result.outcome is Outcome.ANSWERED and result.status == 200
+        correct = succeeded and json.loads(result.data)["mark"] == mark
         with self._lock:
             self._tally.calls[f"{request.service}/{request.kind}"] += 1
             self._tally.boxes[result.box] += 1
             self._tally.targets[result.target] += 1
-            if not own:
+            if not correct:
                 self._tally.lost.append(f"{request.kind} {mark}: {result}")
 
 
 class Demo:
-    """The steps shown."""
+    """The steps of the demo.
+
+    Parameters
+    ----------
+    fleet : Fleet
+
+    Attributes
+    ----------
+    lost : int
+        Calls and checks that failed.
+    names : dict
+        Names for printing, by target address.
+    """
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
@@ -108,7 +134,7 @@
         self.names: dict[str, str] = {}
 
     def run(self) -> int:
-        """Run all steps; return the number of calls lost."""
+        """Run all steps; return the number of calls and checks that failed."""
         fleet = self.fleet
         fleet.start_platform()
         holdings = {place: fleet.start_targets(3) for place in PLACES}
@@ -118,34 +144,36 @@
         for place in PLACES:
             for number, address in enumerate((*holdings[place], *ingest[place]), 1):
                 self.names[address] = f"{place}/target-{number}"
-        self._edit("put two services into two places", *self._first_tree(holdings, ingest))
+        self._edit("configure two services in two places", *self._initial_changes(holdings, ingest))
         callers = Callers([box.caller for box in fleet.boxes.values()])
         callers.start()
         try:
-            self._show(callers, "all as usual")
+            self._show(callers, "normal operation")
             self._edit("weight of hall-b 1 -> 0.25", Change("hall-b/holdings", "weight", "0.25"))
-            callers.take()
-            self._show(callers, "a quarter for hall-b")
+            callers.take_tally()
+            self._show(callers, "hall-b at a quarter of its weight")
             drained = holdings["hall-a"][0]
             state = RunState.DRAINING
             self._edit("drain a target", Change(TARGET_PREFIX + drained, "state", state))
             time.sleep(0.5)
-            callers.take()
+            callers.take_tally()
             tally = self._show(callers, f"{self.names[drained]} drained")
-            self._check(drained not in tally.targets, "the drained target got no new work")
+            self._check(drained not in tally.targets, "the drained target received no new calls")
             self._edit("drain box-3", Change(BOX_PREFIX + "box-3", "state", state))
             box = fleet.boxes["box-3"].process.popen
-            wait_until(lambda: box.poll() is not None, what="box-3 has ended", timeout=12)
-            self._check(box.returncode == 0, "box-3 waited for its callers and ended with status 0")
-            callers.take()
-            tally = self._show(callers, "box-3 gone")
+            wait_until(lambda: box.poll() is not None, what="box-3 exits", timeout=12)
+            self._check(
+                box.returncode == 0, "box-3 waited for its callers and exited with status 0"
+            )
+            callers.take_tally()
+            tally = self._show(callers, "box-3 stopped")
             self._check("box-3" not in tally.boxes, "no caller uses box-3 any more")
         finally:
             callers.stop()
         self._show_log()
         return self.lost
 
-    def _first_tree(
+    def _initial_changes(
         self, holdings: dict[str, list[str]], ingest: dict[str, list[str]]
     ) -> list[Change]:
         changes = [Change("/", "keep_s", "2"), Change("/", "boxes_max", "3")]
@@ -162,30 +190,30 @@
         result = self.fleet.edit("box-1", *changes)
         took = time.monotonic() - began
         print(f"\n== {title}: {result.status}, version {result.version}, {took * 1000:.0f} ms")
-        running = [n for n, b in self.fleet.boxes.items() if b.process.popen.poll() is None]
-        versions = {n: self.fleet.operator(n).status().version for n in running}
+        running_boxes = [n for n, b in self.fleet.boxes.items() if b.process.popen.poll() is None]
+        versions = {n: self.fleet.operator(n).status().version for n in running_boxes}
         print("   version in force:", ", ".join(f"{n} {v}" for n, v in versions.items()))
 
     def _show(self, callers: Callers, title: str) -> Tally:
         time.sleep(STEP_S)
-        tally = callers.take()
+        tally = callers.take_tally()
         self.lost += len(tally.lost) + (not tally.calls)
         print(f"-- {title}: {sum(tally.calls.values())} calls, {len(tally.lost)} lost")
         print("   kinds:  ", _counts(tally.calls))
         print("   boxes:  ", _counts(tally.boxes))
-        named = Counter({self.names.get(t, t): n for t, n in tally.targets.items()})
-        print("   targets:", _counts(named))
+        by_name = Counter({self.names.get(t, t): n for t, n in tally.targets.items()})
+        print("   targets:", _counts(by_name))
         for line in tally.lost[:5]:
             print("   LOST:", line)
         return tally
 
-    def _check(self, held: bool, what: str) -> None:
-        print(f"   {'ok' if held else 'FAILED'}: {what}")
-        self.lost += not held
+    def _check(self, passed: bool, what: str) -> None:
+        print(f"   {'ok' if passed else 'FAILED'}: {what}")
+        self.lost += not passed
 
     def _show_log(self) -> None:
         lines = self.fleet.boxes["box-1"].process.log.read_text(encoding="utf-8").splitlines()
-        print("\n== some decision lines of box-1")
+        print("\n== examples of log lines of box-1")
         for name in ("route", "addresses", "settings-in-force"):
             print("  ", next((x for x in reversed(lines) if f'"event":"{name}"' in x), "none"))
 
