--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Timings and rules compared within one run, as ratios; run as modules."""
+"""Benchmarks, run as modules; each compares its variants within one run."""
--- a/benchmarks/_boxes.py
+++ b/benchmarks/_boxes.py
@@ -1,4 +1,4 @@
-"""Many meshes in one process, joined by a network that loses a share of the words."""
+"""Many meshes in one process, connected by a simulated network that loses messages."""
 
 from __future__ import annotations
 
@@ -16,35 +16,39 @@
 
 PLACES = ("ikeja", "lekki", "surulere", "yaba")
 HEARTBEAT_INTERVAL_S = 0.5
-_SEEDS = 3
+_SEED_COUNT = 3
 _FIRST_VERSION = 5
 
 
 class Clock:
-    """A clock that its owner moves."""
+    """A clock that is advanced by assigning to ``now``, in seconds."""
 
     def __init__(self) -> None:
         self.now = 10.0
 
     def __call__(self) -> float:
-        """Return the time, in seconds."""
+        """Return the current time, in seconds."""
         return self.now
 
 
 class Boxes:
-    """Meshes that tell each other as entry boxes do.
+    """Meshes that exchange heartbeats as entry boxes do.
 
     Parameters
     ----------
     count : int
+        Number of boxes; they are distributed evenly over ``PLACES``.
     seed : int, default 1
+        Of the random generator for peers and losses.
     loss_rate : float, default 0.0
-        Share of the words that are lost.
+        Share of the messages that are lost.
 
     Attributes
     ----------
+    tables, meshes : dict
+        The table and the mesh of each box, by name.
     sent, sent_bytes : int
-        Messages, each of a word or a few, and their bytes.
+        Number of messages sent, each with one or more heartbeats, and their total size.
     """
 
     def __init__(self, count: int, *, seed: int = 1, loss_rate: float = 0.0) -> None:
@@ -74,69 +78,76 @@
         self.tables[name] = table
         self.meshes[name] = mesh
 
-    def send(self, words: Sequence[Heartbeat], peers: Sequence[str]) -> None:
-        """Deliver words; whoever is behind takes the table over and passes the news on."""
-        queue = [(words, peer) for peer in peers]
+    def send(self, heartbeats: Sequence[Heartbeat], peers: Sequence[str]) -> None:
+        """Deliver heartbeats, and those that their receivers send in response.
+
+        A receiver with an older table fetches it and notifies its peers.
+        """
+        queue = [(heartbeats, peer) for peer in peers]
         while queue:
-            words, peer = queue.pop(0)
+            heartbeats, peer = queue.pop(0)
             self.sent += 1
-            self.sent_bytes += sum(map(len, pack_messages(words)))
+            self.sent_bytes += sum(map(len, pack_messages(heartbeats)))
             if self.rng.random() >= self.loss_rate:
-                for word in words:
-                    queue += self._receive(peer, word)
+                for heartbeat in heartbeats:
+                    queue += self._receive(peer, heartbeat)
 
-    def _receive(self, name: str, word: Heartbeat) -> list[tuple[Sequence[Heartbeat], str]]:
-        """Have a box take in a word; return what it sends because of it."""
+    def _receive(self, name: str, heartbeat: Heartbeat) -> list[tuple[Sequence[Heartbeat], str]]:
+        """Have a box receive a heartbeat; return its responses, each with the address."""
         mesh = self.meshes[name]
-        new = not mesh.is_known(word.name)
-        if not mesh.receive(word):
+        is_new_box = not mesh.is_known(heartbeat.name)
+        if not mesh.receive(heartbeat):
             return []
-        answers: list[tuple[Sequence[Heartbeat], str]] = []
-        if word.reply_requested:
-            answers.append(([mesh.own_heartbeat(), *mesh.introductions(word.place)], word.peer))
-        elif new:
-            answers.append(([mesh.own_heartbeat()], word.peer))
-        if mesh.newer_tables(word):
-            self._fetch(name, word.name)
-            answers += [([mesh.own_heartbeat()], other) for other in mesh.update_peers()]
-        return answers
-
-    def _fetch(self, name: str, teller: str) -> None:
-        mine, theirs = self.tables[name], self.tables[teller]
-        assert theirs.verified_at is not None
-        mine.apply(theirs.delta_since(mine.version), at=theirs.verified_at)
+        responses: list[tuple[Sequence[Heartbeat], str]] = []
+        if heartbeat.reply_requested:
+            responses.append(
+                ([mesh.own_heartbeat(), *mesh.introductions(heartbeat.place)], heartbeat.peer)
+            )
+        elif is_new_box:
+            responses.append(([mesh.own_heartbeat()], heartbeat.peer))
+        if mesh.newer_tables(heartbeat):
+            self._fetch(name, heartbeat.name)
+            responses += [([mesh.own_heartbeat()], other) for other in mesh.update_peers()]
+        return responses
+
+    def _fetch(self, name: str, sender: str) -> None:
+        local_table, peer_table = self.tables[name], self.tables[sender]
+        assert peer_table.verified_at is not None
+        local_table.apply(peer_table.delta_since(local_table.version), at=peer_table.verified_at)
 
     def introduce_all(self) -> None:
-        """Have each box ask the seeds whom to know."""
-        seeds = list(self.meshes)[:_SEEDS]
+        """Have each box request heartbeats from the seeds."""
+        seeds = list(self.meshes)[:_SEED_COUNT]
         for name, mesh in self.meshes.items():
             self.send(
                 [mesh.own_heartbeat(reply_requested=True)], [seed for seed in seeds if seed != name]
             )
 
     def exchange_heartbeats(self) -> None:
-        """Let a turn go by, and each box tell its word."""
+        """Advance the clock by an interval and have each box send its heartbeat."""
         self.clock.now += HEARTBEAT_INTERVAL_S
         for mesh in self.meshes.values():
             self.announce(mesh, mesh.heartbeat_peers())
 
-    def announce(self, mesh: Mesh, near: Sequence[str]) -> None:
-        """Have a box tell its word near by and far away."""
-        word = mesh.own_heartbeat()
-        self.send([word], near)
-        self.send([word, *mesh.local_follower()], mesh.remote_peers())
+    def announce(self, mesh: Mesh, local_peers: Sequence[str]) -> None:
+        """Have a box send its heartbeat to peers of its place and of other places."""
+        heartbeat = mesh.own_heartbeat()
+        self.send([heartbeat], local_peers)
+        self.send([heartbeat, *mesh.local_follower()], mesh.remote_peers())
 
     def publish_version(self, version: int) -> None:
-        """Have the lead read a new version and tell it, as a reader does."""
-        lead = next(m for m in self.meshes.values() if m.is_primary_reader())
+        """Have the primary reader read a new version of the table and announce it."""
+        primary_reader = next(m for m in self.meshes.values() if m.is_primary_reader())
         row = TableRow("k", version, b"v")
-        self.tables[lead.name].apply(TableDelta("t", version, True, (row,)), at=self.clock.now)
-        self.announce(lead, lead.update_peers())
+        self.tables[primary_reader.name].apply(
+            TableDelta("t", version, True, (row,)), at=self.clock.now
+        )
+        self.announce(primary_reader, primary_reader.update_peers())
 
     def converge(self) -> Boxes:
-        """Introduce all boxes and let them speak for a while; return self."""
+        """Exchange heartbeats until all boxes know the others and the table; return self."""
         for _ in range(4):
-            self.introduce_all()  # Until a seed has answered.
+            self.introduce_all()  # Repeated in case messages of the seeds are lost.
             self.exchange_heartbeats()
         self.publish_version(_FIRST_VERSION)
         for _ in range(3):
--- a/benchmarks/_virtual.py
+++ b/benchmarks/_virtual.py
@@ -1,4 +1,4 @@
-"""An event loop whose clock jumps to the next thing to do, so that a minute takes a second."""
+"""An event loop on virtual time: instead of waiting, it advances its clock."""
 
 from __future__ import annotations
 
@@ -12,33 +12,33 @@
 T = TypeVar("T")
 
 
-class _JumpingSelector(selectors.DefaultSelector):
-    """A selector that moves the clock on in place of waiting."""
+class _VirtualTimeSelector(selectors.DefaultSelector):
+    """A selector that advances the clock by the timeout instead of waiting."""
 
     now = 0.0
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
-        """Return what is ready at once."""
+        """Advance the clock by ``timeout`` and return what is ready now."""
         if timeout is None:
-            msg = "nothing is scheduled and nothing is ready: the loop would wait for ever"
+            msg = "deadlock on virtual time: no callback is scheduled and nothing is ready"
             raise RuntimeError(msg)
         self.now += max(0.0, timeout)
         return super().select(0)
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """An event loop on virtual time."""
+    """An event loop on virtual time, which starts at 0."""
 
     def __init__(self) -> None:
-        self._jumping = _JumpingSelector()
-        super().__init__(self._jumping)
+        self._virtual_selector = _VirtualTimeSelector()
+        super().__init__(self._virtual_selector)
 
     def time(self) -> float:
         """Return the virtual time, in seconds."""
-        return self._jumping.now
+        return self._virtual_selector.now
 
 
 def run_virtually(main: Coroutine[None, None, T]) -> T:
-    """Run a coroutine on virtual time and return its result."""
+    """Run a coroutine in a new event loop on virtual time and return its result."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         return runner.run(main)
