--- a/benchmarks/choice.py
+++ b/benchmarks/choice.py
@@ -1,8 +1,8 @@
 """Compare the rule for choosing a target with baselines: ``python -m benchmarks.choice``.
 
-Eighteen boxes' real choosers against thirty fake targets with noisy
-neighbours, on a clock moved by hand and with fixed seeds.  Prints p50, p99
-and p99.9 as ratios to the shortest queue with full knowledge.
+The choosers of eighteen boxes send calls to thirty simulated targets with noisy
+neighbours, on a discrete-event clock and with fixed seeds.  Prints the latencies
+p50, p99 and p99.9 as ratios to the shortest queue with full knowledge.
 """
 
 from __future__ import annotations
@@ -13,7 +13,15 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING, Protocol
 
-from benchmarks._model import MEAN_SPEED, TRAVEL_S, WORK_S, Events, FakeTarget, Job, quantile
+from benchmarks._model import (
+    MEAN_SPEED,
+    MEAN_WORK_S,
+    ONE_WAY_DELAY_S,
+    EventQueue,
+    FakeTarget,
+    Job,
+    quantile,
+)
 from dunlinnotch.coordination.budgets.probes import ProbeBudget, probes_per_second
 from dunlinnotch.coordination.choosing.least_load import Chooser
 from dunlinnotch.coordination.choosing.subset import assign_subsets
@@ -25,158 +33,159 @@
 
 BOXES = 18
 TARGETS = 30
-BUSY = 0.85
-SUBSET = 10
-_WARM_S = 0.5
-_PROBE_LOOK_S = 0.1
+#: Offered load as a share of the capacity of all targets.
+UTILISATION = 0.85
+SUBSET_SIZE = 10
+_WARM_UP_S = 0.5
+_PROBE_INTERVAL_S = 0.1
 _PROBE_WORK_S = 0.006
 PLACE = "hall-a"
 
 
 class Rule(Protocol):
-    """Chooses a target for a call at a box."""
+    """A rule that chooses a target for each call."""
 
     def choose(self, box: int) -> int:
-        """Return the index of the target."""
+        """Return the index of the target for a call at a box."""
 
-    def ended(self, box: int, target: int, began: float, *, well: bool, load: int) -> None:
-        """Take in the end of a call."""
+    def end_call(self, box: int, target: int, began: float, *, succeeded: bool, load: int) -> None:
+        """Record the end of a call."""
 
 
 class Random:
-    """Any target, by chance."""
+    """Choose a target at random."""
 
-    def __init__(self, model: Model) -> None:
-        self._model = model
+    def __init__(self, simulation: Simulation) -> None:
+        self._simulation = simulation
 
     def choose(self, box: int) -> int:
-        """Return the index of the target."""
-        return self._model.rng.randrange(len(self._model.targets))
+        """Return the index of the target for a call at a box."""
+        return self._simulation.rng.randrange(len(self._simulation.targets))
 
-    def ended(self, box: int, target: int, began: float, *, well: bool, load: int) -> None:
-        """Take in the end of a call."""
+    def end_call(self, box: int, target: int, began: float, *, succeeded: bool, load: int) -> None:
+        """Record the end of a call."""
 
 
 class RoundRobin(Random):
-    """Each target in turn, on each box."""
+    """Choose the targets in turn, separately on each box."""
 
-    def __init__(self, model: Model) -> None:
-        super().__init__(model)
-        self._next = [model.rng.randrange(len(model.targets)) for _ in range(BOXES)]
+    def __init__(self, simulation: Simulation) -> None:
+        super().__init__(simulation)
+        self._next = [simulation.rng.randrange(len(simulation.targets)) for _ in range(BOXES)]
 
     def choose(self, box: int) -> int:
-        """Return the index of the target."""
-        self._next[box] = (self._next[box] + 1) % len(self._model.targets)
+        """Return the index of the target for a call at a box."""
+        self._next[box] = (self._next[box] + 1) % len(self._simulation.targets)
         return self._next[box]
 
 
 class TwoChoices(Random):
-    """The one of two targets that has fewer of the box's own calls."""
+    """Choose the one of two random targets with fewer calls of the box in flight."""
 
-    def __init__(self, model: Model) -> None:
-        super().__init__(model)
-        self._own = [[0] * len(model.targets) for _ in range(BOXES)]
+    def __init__(self, simulation: Simulation) -> None:
+        super().__init__(simulation)
+        self._in_flight = [[0] * len(simulation.targets) for _ in range(BOXES)]
 
     def choose(self, box: int) -> int:
-        """Return the index of the target."""
-        own = self._own[box]
-        first, second = self._model.rng.sample(range(len(own)), 2)
-        target = first if own[first] <= own[second] else second
-        own[target] += 1
+        """Return the index of the target for a call at a box."""
+        in_flight = self._in_flight[box]
+        first, second = self._simulation.rng.sample(range(len(in_flight)), 2)
+        target = first if in_flight[first] <= in_flight[second] else second
+        in_flight[target] += 1
         return target
 
-    def ended(self, box: int, target: int, began: float, *, well: bool, load: int) -> None:
-        """Take in the end of a call."""
-        self._own[box][target] -= 1
+    def end_call(self, box: int, target: int, began: float, *, succeeded: bool, load: int) -> None:
+        """Record the end of a call."""
+        self._in_flight[box][target] -= 1
 
 
 class FullKnowledge(Random):
-    """The shortest queue, with the true counts of all boxes and no failing target."""
+    """Choose the healthy target with the fewest calls in flight of all boxes."""
 
-    def __init__(self, model: Model) -> None:
-        super().__init__(model)
-        self._sent = [0] * len(model.targets)
-        self._sound = [i for i, t in enumerate(model.targets) if not t.fails]
+    def __init__(self, simulation: Simulation) -> None:
+        super().__init__(simulation)
+        self._sent = [0] * len(simulation.targets)
+        self._healthy = [i for i, t in enumerate(simulation.targets) if not t.fails]
 
     def choose(self, box: int) -> int:
-        """Return the index of the target."""
-        draw = self._model.rng.random
-        target = min(self._sound, key=lambda i: (self._sent[i], draw()))
+        """Return the index of the target for a call at a box."""
+        tie_break = self._simulation.rng.random
+        target = min(self._healthy, key=lambda i: (self._sent[i], tie_break()))
         self._sent[target] += 1
         return target
 
-    def ended(self, box: int, target: int, began: float, *, well: bool, load: int) -> None:
-        """Take in the end of a call."""
+    def end_call(self, box: int, target: int, began: float, *, succeeded: bool, load: int) -> None:
+        """Record the end of a call."""
         self._sent[target] -= 1
 
 
-class Landed:
-    """The project's own choosers, one for each box, each with its subset."""
+class BalancerRule:
+    """The choosers of the balancer, one per box, each with its subset of the targets."""
 
-    def __init__(self, model: Model) -> None:
-        self._model = model
+    def __init__(self, simulation: Simulation) -> None:
+        self._simulation = simulation
         names = [f"box-{n}" for n in range(BOXES)]
-        addresses = [target.address for target in model.targets]
-        subsets = assign_subsets(names, addresses, SUBSET)
+        addresses = [target.address for target in simulation.targets]
+        subsets = assign_subsets(names, addresses, SUBSET_SIZE)
         self._choosers = []
         self._records: list[dict[int, TargetRecord]] = []
         for name in names:
             records = {
                 index: TargetRecord(
-                    address, PLACE, model.slots, sum(address in s for s in subsets.values())
+                    address, PLACE, simulation.slots, sum(address in s for s in subsets.values())
                 )
                 for index, address in enumerate(addresses)
                 if address in subsets[name]
             }
-            chooser = Chooser(rng=model.rng)
+            chooser = Chooser(rng=simulation.rng)
             chooser.set_targets(records.values(), {PLACE: 1.0})
             self._choosers.append(chooser)
             self._records.append(records)
         self._flights: dict[tuple[int, float], Flight] = {}
         self._index = {address: index for index, address in enumerate(addresses)}
         self._budgets = [ProbeBudget() for _ in names]
-        self._settings = Settings(slots=model.slots)
-        model.events.after(_PROBE_LOOK_S, self._probe)
+        self._settings = Settings(slots=simulation.slots)
+        simulation.events.after(_PROBE_INTERVAL_S, self._probe)
 
     def choose(self, box: int) -> int:
-        """Return the index of the target."""
-        now = self._model.events.now
+        """Return the index of the target for a call at a box."""
+        now = self._simulation.events.now
         choice = self._choosers[box].choose(now)
         if choice is None:
-            msg = "no target is left"
+            msg = f"box {box} has no target to choose"
             raise RuntimeError(msg)
         flight = self._choosers[box].begin(choice.target, now, kind="call")
         self._flights[box, now] = flight
         return self._index[choice.target.address]
 
-    def ended(self, box: int, target: int, began: float, *, well: bool, load: int) -> None:
-        """Take in the end of a call."""
-        now = self._model.events.now
+    def end_call(self, box: int, target: int, began: float, *, succeeded: bool, load: int) -> None:
+        """Record the end of a call."""
+        now = self._simulation.events.now
         record = self._records[box][target]
-        if well:
+        if succeeded:
             self._choosers[box].heard(record, now, load)
         flight = self._flights.pop((box, began))
-        self._choosers[box].finish(record, flight, now, kind="call", failed=not well)
+        self._choosers[box].finish(record, flight, now, kind="call", failed=not succeeded)
 
     def _probe(self) -> None:
-        now = self._model.events.now
+        now = self._simulation.events.now
         for budget, records in zip(self._budgets, self._records, strict=True):
             for index, record in records.items():
                 if budget.needs_probe(record, now) and budget.try_spend(
                     record.address, self._settings, now
                 ):
                     self._send_probe(budget, record, index)
-        self._model.events.after(_PROBE_LOOK_S, self._probe)
+        self._simulation.events.after(_PROBE_INTERVAL_S, self._probe)
 
     def _send_probe(self, budget: ProbeBudget, record: TargetRecord, index: int) -> None:
-        self._model.probes += 1
-        job = Job(_PROBE_WORK_S, lambda _well, _load: budget.record_end(record.address))
-        self._model.targets[index].send(job)
+        self._simulation.probes += 1
+        job = Job(_PROBE_WORK_S, lambda _succeeded, _load: budget.record_end(record.address))
+        self._simulation.targets[index].send(job)
 
 
-RULES: dict[str, Callable[[Model], Rule]] = {
+RULES: dict[str, Callable[[Simulation], Rule]] = {
     "full knowledge": FullKnowledge,
-    "landed": Landed,
+    "landed": BalancerRule,
     "two choices": TwoChoices,
     "random": Random,
     "round robin": RoundRobin,
@@ -184,18 +193,38 @@
 
 
 @dataclass(slots=True)
-class Model:
-    """One run of one rule."""
+class Simulation:
+    """One run of one rule.
+
+    Parameters
+    ----------
+    slots : int
+        Of each target.
+    seed : int
+    faulty : bool
+        One target fails fast and another reports no load.
+    skew : float
+        Calls of the busiest box relative to the least busy one.
+
+    Attributes
+    ----------
+    latencies : list of float
+        Of the calls that succeeded after the warm-up, in seconds.
+    failed : int
+        Calls that failed after the warm-up.
+    probes : int
+        Probes sent.
+    """
 
     slots: int
     seed: int
-    odd: bool
+    faulty: bool
     skew: float
     targets: list[FakeTarget] = field(default_factory=list)
-    times: list[float] = field(default_factory=list)
+    latencies: list[float] = field(default_factory=list)
     failed: int = 0
     probes: int = 0
-    events: Events = field(default_factory=Events)
+    events: EventQueue = field(default_factory=EventQueue)
     rng: random.Random = field(init=False)
 
     def __post_init__(self) -> None:
@@ -206,24 +235,24 @@
                 self.slots,
                 self.events,
                 random.Random(self.seed * 1000 + number),
-                fails=self.odd and number == 0,
-                lies=self.odd and number == 1,
+                fails=self.faulty and number == 0,
+                reports_no_load=self.faulty and number == 1,
             )
             for number in range(TARGETS)
         ]
 
-    def run(self, make: Callable[[Model], Rule], calls: int) -> None:
-        """Send ``calls`` calls by a rule."""
-        rule = make(self)
-        # Arrivals and work have their own generator, so each rule gets the same.
+    def run(self, make_rule: Callable[[Simulation], Rule], calls: int) -> None:
+        """Send ``calls`` calls to the targets that a rule chooses."""
+        rule = make_rule(self)
+        # A separate generator, so that all rules receive the same calls.
         traffic = random.Random(self.seed + 1)
-        rate = BUSY * TARGETS * self.slots * MEAN_SPEED / WORK_S
+        rate = UTILISATION * TARGETS * self.slots * MEAN_SPEED / MEAN_WORK_S
         weights = [1.0 + (self.skew - 1.0) * n / (BOXES - 1) for n in range(BOXES)]
         boxes = traffic.choices(range(BOXES), weights, k=calls)
         at = 0.0
         for box in boxes:
             at += traffic.expovariate(rate)
-            work = traffic.expovariate(1 / WORK_S)
+            work = traffic.expovariate(1 / MEAN_WORK_S)
             self.events.at(at, lambda box=box, work=work: self._call(rule, box, work))  # type: ignore[misc]
         self.events.run(at + 5.0)
 
@@ -231,28 +260,41 @@
         began = self.events.now
         index = rule.choose(box)
 
-        def received(well: bool, load: int) -> None:
-            rule.ended(box, index, began, well=well, load=load)
-            if began < _WARM_S:
+        def received(succeeded: bool, load: int) -> None:
+            rule.end_call(box, index, began, succeeded=succeeded, load=load)
+            if began < _WARM_UP_S:
                 return
-            if well:
-                self.times.append(self.events.now - began)
+            if succeeded:
+                self.latencies.append(self.events.now - began)
             else:
                 self.failed += 1
 
-        def done(well: bool, load: int) -> None:
-            self.events.after(TRAVEL_S, lambda: received(well, load))
+        def on_done(succeeded: bool, load: int) -> None:
+            self.events.after(ONE_WAY_DELAY_S, lambda: received(succeeded, load))
 
-        job = Job(work, done)
-        self.events.after(TRAVEL_S, lambda: self._arrive(index, job))
+        job = Job(work, on_done)
+        self.events.after(ONE_WAY_DELAY_S, lambda: self._arrive(index, job))
 
     def _arrive(self, index: int, job: Job) -> None:
         self.targets[index].send(job)
 
 
 @dataclass(frozen=True, slots=True)
-class Row:
-    """What one rule came to."""
+class Result:
+    """Results of one rule.
+
+    Parameters
+    ----------
+    rule : str
+    p50, p99, p999 : float
+        Quantiles of the latency, in seconds.
+    failed : float
+        Share of the calls that failed.
+    probes : float
+        Probes per call.
+    probe_share : float
+        Share of the targets' processing time that was spent on probes.
+    """
 
     rule: str
     p50: float
@@ -263,40 +305,40 @@
     probe_share: float
 
 
-def measure(name: str, *, slots: int, odd: bool, skew: float, calls: int, seed: int) -> Row:
-    """Run one rule and return its figures."""
-    model = Model(slots, seed, odd, skew)
-    model.run(RULES[name], calls)
-    times = sorted(model.times)
-    ended = len(times) + model.failed
-    busy = sum(target.busy_s for target in model.targets)
-    return Row(
+def measure(name: str, *, slots: int, faulty: bool, skew: float, calls: int, seed: int) -> Result:
+    """Run one rule and return its results."""
+    simulation = Simulation(slots, seed, faulty, skew)
+    simulation.run(RULES[name], calls)
+    latencies = sorted(simulation.latencies)
+    ended = len(latencies) + simulation.failed
+    total_busy_s = sum(target.busy_s for target in simulation.targets)
+    return Result(
         name,
-        quantile(times, 0.5),
-        quantile(times, 0.99),
-        quantile(times, 0.999),
-        model.failed / ended,
-        model.probes / ended,
-        model.probes * _PROBE_WORK_S / busy,
+        quantile(latencies, 0.5),
+        quantile(latencies, 0.99),
+        quantile(latencies, 0.999),
+        simulation.failed / ended,
+        simulation.probes / ended,
+        simulation.probes * _PROBE_WORK_S / total_busy_s,
     )
 
 
-def show(title: str, rows: Sequence[Row]) -> None:
-    """Print rows as ratios to the first one."""
-    base = rows[0]
+def print_results(title: str, results: Sequence[Result]) -> None:
+    """Print results as ratios to the first one."""
+    base = results[0]
     print(f"\n{title}; full knowledge: p99 {base.p99 * 1000:.1f} ms")
     print(
         f"{'rule':15} {'p50':>6} {'p99':>6} {'p99.9':>6} {'failed':>8} "
         f"{'probes/call':>12} {'probe time':>11}"
     )
-    for row in rows:
+    for row in results:
         ratios = f"{row.p50 / base.p50:6.2f} {row.p99 / base.p99:6.2f} {row.p999 / base.p999:6.2f}"
         costs = f"{row.failed:8.3%} {row.probes:12.5f} {row.probe_share:11.4%}"
         print(f"{row.rule:15} {ratios} {costs}")
 
 
 def main() -> None:
-    """Compare the rules."""
+    """Run all scenarios with each rule and print the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--calls", type=int, default=60_000)
     parser.add_argument("--seed", type=int, default=7)
@@ -309,19 +351,19 @@
         (False, 6.0, "noisy, callers 6 to 1"),
     ]
     for slots in (6, 3):
-        for odd, skew, title in scenarios:
-            rows = [
+        for faulty, skew, title in scenarios:
+            results = [
                 measure(
                     name,
                     slots=slots,
-                    odd=odd,
+                    faulty=faulty,
                     skew=skew,
                     calls=arguments.calls,
                     seed=arguments.seed,
                 )
                 for name in arguments.rules
             ]
-            show(f"{slots} slots, {BUSY:.0%} busy, {title}", rows)
+            print_results(f"{slots} slots, {UTILISATION:.0%} busy, {title}", results)
     budget = probes_per_second(Settings()) * BOXES
     print(f"\nprobe budget: {budget:.2f}/s for each target; took {time.monotonic() - began:.0f} s")
 
--- a/benchmarks/daemons.py
+++ b/benchmarks/daemons.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from typing import TYPE_CHECKING
 
-from benchmarks._model import FULL_S, MEAN_SPEED, SLOW_S, SLOW_SPEED, quantile
+from benchmarks._model import MEAN_FULL_SPEED_S, MEAN_SLOW_S, MEAN_SPEED, SLOW_SPEED, quantile
 from benchmarks.hop import Connection
 from demo.fleet import Fleet, kind_changes, place_changes
 from dunlinnotch.standins.target import TargetFaults
@@ -110,7 +110,7 @@
 def disturb(fleet: Fleet, stopped: threading.Event) -> None:
     """Slow targets down now and then, as the model of ``benchmarks.choice`` does."""
     rng = random.Random(7)
-    ends = [rng.expovariate(1 / FULL_S) for _ in fleet.targets]
+    ends = [rng.expovariate(1 / MEAN_FULL_SPEED_S) for _ in fleet.targets]
     slow = [False] * len(ends)
     began = time.monotonic()
     while not stopped.wait(0.01):
@@ -118,7 +118,9 @@
         for index, end in enumerate(ends):
             if now >= end:
                 slow[index] = not slow[index]
-                ends[index] = now + rng.expovariate(1 / (SLOW_S if slow[index] else FULL_S))
+                ends[index] = now + rng.expovariate(
+                    1 / (MEAN_SLOW_S if slow[index] else MEAN_FULL_SPEED_S)
+                )
                 slowness = 1 / SLOW_SPEED if slow[index] else 1.0
                 fleet.set_target_faults(index, TargetFaults(slowness=slowness))
 
--- a/benchmarks/overload.py
+++ b/benchmarks/overload.py
@@ -1,8 +1,9 @@
-"""Load a service beyond what it can do: ``python -m benchmarks.overload``.
+"""Goodput of a service under overload: ``python -m benchmarks.overload``.
 
-Eighteen boxes' real pools (queue, choice, limits, retries) against thirty fake
-targets that shed, on a clock moved by hand and with fixed seeds, at 0.8, 1.2
-and 2 times the capacity.  Goodput counts answers within the deadline.
+The pools of eighteen boxes (queue, choice, limits, retries) send calls to thirty
+simulated targets that shed load, on a discrete-event clock and with fixed seeds.
+The offered load is 0.8, 1.2 and 2 times the capacity.  Goodput counts the
+answers within the deadline.
 """
 
 from __future__ import annotations
@@ -14,7 +15,15 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from benchmarks._model import MEAN_SPEED, TRAVEL_S, WORK_S, Events, FakeTarget, Job, quantile
+from benchmarks._model import (
+    MEAN_SPEED,
+    MEAN_WORK_S,
+    ONE_WAY_DELAY_S,
+    EventQueue,
+    FakeTarget,
+    Job,
+    quantile,
+)
 from dunlinnotch.coordination.choosing.limits import Grant, Ticket, TicketState
 from dunlinnotch.coordination.choosing.pool import ServicePool
 from dunlinnotch.coordination.choosing.subset import assign_subsets
@@ -27,80 +36,120 @@
 
 BOXES = 18
 TARGETS = 30
-SUBSET = 10
+SUBSET_SIZE = 10
 LOADS = (0.8, 1.2, 2.0)
 PLACE = "hall-a"
-_WARM_S = 0.5
-_PUMP_S = 0.005
-#: Calls that wait at a target before it sheds.
-_TARGET_QUEUE = 12
+_WARM_UP_S = 0.5
+_PUMP_INTERVAL_S = 0.005
+#: Queued calls above which a target sheds load.
+_MAX_QUEUED_AT_TARGET = 12
 
 
 @dataclass(frozen=True, slots=True)
 class Kind:
-    """A request kind and its part of the traffic."""
+    """A request kind.
+
+    Parameters
+    ----------
+    name : str
+    traffic_share : float
+        Share of the calls that are of this kind.
+    rank : int
+    share : float
+        Weight of the kind in the queue.
+    is_idempotent : bool
+    deadline_s : float, default 2.0
+        Maximum latency of an answer in time, in seconds.
+    """
 
     name: str
-    part: float
+    traffic_share: float
     rank: int
     share: float
-    repeatable: bool
+    is_idempotent: bool
     deadline_s: float = 2.0
 
 
 KINDS = (
-    Kind("check", 0.20, 0, 1.0, repeatable=True),
-    Kind("lookup", 0.45, 5, 3.0, repeatable=True),
-    Kind("dues", 0.15, 5, 1.0, repeatable=False),
-    Kind("upload", 0.20, 7, 1.0, repeatable=False),
+    Kind("check", 0.20, 0, 1.0, is_idempotent=True),
+    Kind("lookup", 0.45, 5, 3.0, is_idempotent=True),
+    Kind("dues", 0.15, 5, 1.0, is_idempotent=False),
+    Kind("upload", 0.20, 7, 1.0, is_idempotent=False),
 )
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """One call under way."""
+    """A call in flight, with the addresses of its attempts so far."""
 
     number: int
     kind: Kind
     box: int
     work: float
     began: float
-    tried: list[str] = field(default_factory=list)
+    attempted: list[str] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class Result:
-    """What one load came to."""
+    """Results of one offered load, counted by kind.
+
+    Parameters
+    ----------
+    offered, in_time, late, refused : Counter
+        Calls sent, answered within and after the deadline, and refused.
+    latencies : dict
+        Latencies of the answered calls, in seconds.
+    processed : Counter
+        How many times targets processed each call, by its number.
+    not_idempotent : set of int
+        Numbers of the calls that must be processed at most once.
+    retries : int
+    seconds : float
+        Duration of the offered load after the warm-up.
+    in_time_while_offered : int
+        Answers within the deadline before the offered load ended.
+    """
 
     offered: Counter[str] = field(default_factory=Counter)
-    good: Counter[str] = field(default_factory=Counter)
+    in_time: Counter[str] = field(default_factory=Counter)
     late: Counter[str] = field(default_factory=Counter)
     refused: Counter[str] = field(default_factory=Counter)
-    times: defaultdict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
-    runs: Counter[int] = field(default_factory=Counter)
-    once: set[int] = field(default_factory=set)
+    latencies: defaultdict[str, list[float]] = field(default_factory=lambda: defaultdict(list))
+    processed: Counter[int] = field(default_factory=Counter)
+    not_idempotent: set[int] = field(default_factory=set)
     retries: int = 0
     seconds: float = 0.0
-    in_window: int = 0
+    in_time_while_offered: int = 0
 
     def goodput(self) -> float:
-        """Return good answers a second, of those that came while calls did."""
-        return self.in_window / self.seconds
+        """Return the answers within the deadline per second, while load was offered."""
+        return self.in_time_while_offered / self.seconds
 
     def p99(self, kind: str) -> float:
-        """Return the p99 of one kind, in seconds."""
-        return quantile(sorted(self.times[kind]), 0.99)
+        """Return the 99th percentile of the latency of a kind, in seconds."""
+        return quantile(sorted(self.latencies[kind]), 0.99)
 
-    def run_twice(self) -> int:
-        """Return the calls that may not be repeated and ran more than once."""
-        return sum(self.runs[number] > 1 for number in self.once)
+    def processed_twice(self) -> int:
+        """Return the number of non-idempotent calls that were processed more than once."""
+        return sum(self.processed[number] > 1 for number in self.not_idempotent)
 
 
 class Overload:
-    """One run at one load."""
+    """One run at one offered load.
+
+    Parameters
+    ----------
+    slots : int
+        Of each target.
+    load : float
+        Multiple of the capacity.
+    seed : int
+    settings : Settings
+    """
 
     def __init__(self, *, slots: int, load: float, seed: int, settings: Settings) -> None:
-        self.events = Events()
+        self.events = EventQueue()
         self.result = Result()
         self._load = load
         self._until = 0.0
@@ -114,7 +163,7 @@
                 slots,
                 self.events,
                 random.Random(seed * 1000 + n),
-                queue_max=_TARGET_QUEUE,
+                max_queued=_MAX_QUEUED_AT_TARGET,
             )
             for n in range(TARGETS)
         }
@@ -123,7 +172,7 @@
 
     def _make_pools(self) -> list[ServicePool]:
         names = [f"box-{n}" for n in range(BOXES)]
-        subsets = assign_subsets(names, list(self.targets), SUBSET)
+        subsets = assign_subsets(names, list(self.targets), SUBSET_SIZE)
         pools = []
         for name in names:
             pool = ServicePool("rolls", clock=lambda: self.events.now, rng=self._rng)
@@ -137,11 +186,11 @@
 
     @property
     def capacity(self) -> float:
-        """Calls a second that the targets can do."""
-        return TARGETS * self._slots * MEAN_SPEED / WORK_S
+        """Calls per second that all targets can process."""
+        return TARGETS * self._slots * MEAN_SPEED / MEAN_WORK_S
 
     def run(self, seconds: float) -> Result:
-        """Send calls for a time and return what came of them."""
+        """Offer the load for some seconds and return the results."""
         rate = self._load * self.capacity
         self._until = seconds
         kinds = {kind.name: kind for kind in KINDS}
@@ -149,48 +198,48 @@
         while at < seconds:
             number += 1
             at += self._traffic.expovariate(rate)
-            name = self._traffic.choices(list(kinds), [k.part for k in KINDS])[0]
-            work = self._traffic.expovariate(1 / WORK_S)
+            name = self._traffic.choices(list(kinds), [k.traffic_share for k in KINDS])[0]
+            work = self._traffic.expovariate(1 / MEAN_WORK_S)
             call = Call(number, kinds[name], self._traffic.randrange(BOXES), work, at)
             self.events.at(at, lambda call=call: self._arrive(call))  # type: ignore[misc]
         self.events.run(seconds + 10.0)
-        self.result.seconds = seconds - _WARM_S
+        self.result.seconds = seconds - _WARM_UP_S
         return self.result
 
-    def _counted(self, call: Call) -> bool:
-        return call.began >= _WARM_S
+    def _is_counted(self, call: Call) -> bool:
+        return call.began >= _WARM_UP_S
 
     def _arrive(self, call: Call) -> None:
-        if self._counted(call):
+        if self._is_counted(call):
             self.result.offered[call.kind.name] += 1
-        if not call.kind.repeatable:
-            self.result.once.add(call.number)
-        give_up = call.began + min(call.kind.deadline_s, self._settings.queue_ms / 1000)
+        if not call.kind.is_idempotent:
+            self.result.not_idempotent.add(call.number)
+        queue_deadline = call.began + min(call.kind.deadline_s, self._settings.queue_ms / 1000)
         ticket = Ticket(
             kind=call.kind.name,
             rank=call.kind.rank,
             share=call.kind.share,
-            queue_deadline=give_up,
-            idempotent=call.kind.repeatable,
+            queue_deadline=queue_deadline,
+            idempotent=call.kind.is_idempotent,
             on_granted=lambda: self.events.after(0.0, lambda: self._granted(call, ticket)),
         )
         if self.pools[call.box].enter(ticket) is not None:
             self._refuse(call)
         elif ticket.state is TicketState.WAITING:
-            self.events.at(give_up, lambda: self._give_up(call, ticket))
-            self._pump_later(call.box)
+            self.events.at(queue_deadline, lambda: self._cancel_if_waiting(call, ticket))
+            self._schedule_pump(call.box)
 
-    def _pump_later(self, box: int) -> None:
+    def _schedule_pump(self, box: int) -> None:
         if not self._pumping[box]:
             self._pumping[box] = True
-            self.events.after(_PUMP_S, lambda: self._pump(box))
+            self.events.after(_PUMP_INTERVAL_S, lambda: self._pump(box))
 
     def _pump(self, box: int) -> None:
         self._pumping[box] = False
         if self.pools[box].pump():
-            self._pump_later(box)
+            self._schedule_pump(box)
 
-    def _give_up(self, call: Call, ticket: Ticket) -> None:
+    def _cancel_if_waiting(self, call: Call, ticket: Ticket) -> None:
         if ticket.state is TicketState.WAITING:
             self.pools[call.box].cancel(ticket)
             self._refuse(call)
@@ -201,79 +250,81 @@
 
     def _send(self, call: Call, grant: Grant) -> None:
         address = grant.choice.target.address
-        call.tried.append(address)
+        call.attempted.append(address)
 
-        def started() -> None:
-            self.result.runs[call.number] += 1
+        def on_started() -> None:
+            self.result.processed[call.number] += 1
 
-        def done(_well: bool, load: int) -> None:
-            self.events.after(TRAVEL_S, lambda: self._answered(call, grant, load))
+        def on_done(_succeeded: bool, load: int) -> None:
+            self.events.after(ONE_WAY_DELAY_S, lambda: self._answered(call, grant, load))
 
         def arrive() -> None:
             target = self.targets[address]
-            if not target.send(Job(call.work, done, started)):
+            if not target.send(Job(call.work, on_done, on_started)):
                 load = target.load
-                self.events.after(TRAVEL_S, lambda: self._shed(call, grant, load))
+                self.events.after(
+                    ONE_WAY_DELAY_S, lambda: self._refused_by_target(call, grant, load)
+                )
 
-        self.events.after(TRAVEL_S, arrive)
+        self.events.after(ONE_WAY_DELAY_S, arrive)
 
     def _answered(self, call: Call, grant: Grant, load: int) -> None:
         pool = self.pools[call.box]
         pool.record_report(grant.choice.target, LoadReport(in_flight=load))
         pool.finish(grant, failed=False)
         took = self.events.now - call.began
-        if _WARM_S <= self.events.now < self._until and took <= call.kind.deadline_s:
-            self.result.in_window += 1
-        if not self._counted(call):
+        if _WARM_UP_S <= self.events.now < self._until and took <= call.kind.deadline_s:
+            self.result.in_time_while_offered += 1
+        if not self._is_counted(call):
             return
         name = call.kind.name
-        self.result.times[name].append(took)
-        (self.result.good if took <= call.kind.deadline_s else self.result.late)[name] += 1
+        self.result.latencies[name].append(took)
+        (self.result.in_time if took <= call.kind.deadline_s else self.result.late)[name] += 1
 
-    def _shed(self, call: Call, grant: Grant, load: int) -> None:
+    def _refused_by_target(self, call: Call, grant: Grant, load: int) -> None:
         pool = self.pools[call.box]
         pool.record_report(grant.choice.target, LoadReport(in_flight=load))
         pool.finish(grant, failed=False, counted=False)
-        again = None
-        if len(call.tried) < self._settings.attempts:
-            again = pool.choose_retry(
-                exclude=call.tried, kind=call.kind.name, idempotent=call.kind.repeatable
+        retry = None
+        if len(call.attempted) < self._settings.attempts:
+            retry = pool.choose_retry(
+                exclude=call.attempted, kind=call.kind.name, idempotent=call.kind.is_idempotent
             )
-        if again is None:
+        if retry is None:
             self._refuse(call)
             return
         self.result.retries += 1
-        self._send(call, again)
+        self._send(call, retry)
 
     def _refuse(self, call: Call) -> None:
-        if self._counted(call):
+        if self._is_counted(call):
             self.result.refused[call.kind.name] += 1
 
 
-def show(slots: int, results: Sequence[tuple[float, Result]], capacity: float) -> None:
-    """Print what each load came to, against the first."""
-    base = results[0][1]
-    full = base.goodput() / results[0][0]
+def print_results(slots: int, results: Sequence[tuple[float, Result]], capacity: float) -> None:
+    """Print the results of each load, and latencies as ratios to the first load."""
+    baseline = results[0][1]
+    goodput_at_capacity = baseline.goodput() / results[0][0]
     print(f"\n{slots} slots, capacity {capacity:.0f} calls/s")
     print("load  goodput  of scaled  refused  late  retries  twice   per kind: good, p99 (to 0.8)")
     for load, result in results:
         offered = sum(result.offered.values())
         kinds = "  ".join(
-            f"{k.name} {result.good[k.name] / result.offered[k.name]:.0%} "
-            f"{result.p99(k.name) * 1000:.0f} ms ({result.p99(k.name) / base.p99(k.name):.2f})"
+            f"{k.name} {result.in_time[k.name] / result.offered[k.name]:.0%} "
+            f"{result.p99(k.name) * 1000:.0f} ms ({result.p99(k.name) / baseline.p99(k.name):.2f})"
             for k in KINDS
         )
         print(
             f"{load:4.1f} {result.goodput() / capacity:8.1%} "
-            f"{result.goodput() / min(full, full * load):10.1%} "
+            f"{result.goodput() / min(goodput_at_capacity, goodput_at_capacity * load):10.1%} "
             f"{sum(result.refused.values()) / offered:8.1%} "
             f"{sum(result.late.values()) / offered:5.1%} "
-            f"{result.retries / offered:8.2%} {result.run_twice():6}   {kinds}"
+            f"{result.retries / offered:8.2%} {result.processed_twice():6}   {kinds}"
         )
 
 
 def main() -> None:
-    """Measure overload."""
+    """Run all loads and print the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=6.0)
     parser.add_argument("--seed", type=int, default=7)
@@ -289,7 +340,7 @@
             )
             capacity = run.capacity
             results.append((load, run.run(arguments.seconds)))
-        show(slots, results, capacity)
+        print_results(slots, results, capacity)
     print(f"\ntook {time.monotonic() - began:.0f} s")
 
 
