--- a/benchmarks/goodput.py
+++ b/benchmarks/goodput.py
@@ -1,10 +1,10 @@
-"""Goodput against offered load, and what is left of it after: ``python -m benchmarks.goodput``.
+"""Goodput by offered load, and recovery after an overload: ``python -m benchmarks.goodput``.
 
-The deciding path of seventeen boxes (forwarder, queue, probes within their
-budget, learnt fullness) against targets that are slow by turns and slowed down
-when nearly full, on virtual time with fixed seeds.  Load is told as a multiple of
-what the targets end when every request starts at a target of usual speed at the
-best fullness.  Callers ask again twice, after the time that they are told.
+Seventeen boxes (forwarder, queue, probes within their budget, latency model)
+send requests to simulated targets on virtual time, with fixed seeds.  Targets
+alternate between usual and slow speed, and slow down when nearly saturated.
+Load is a multiple of the capacity of the targets at usual speed and their best
+utilisation.  Callers retry a refused request twice, after the requested delay.
 """
 
 from __future__ import annotations
@@ -47,26 +47,33 @@
 PLACES = ("hall-a", "hall-b", "hall-c")
 HOST = "records.example"
 SERVICE = "records"
-#: One way between a box and a target, in seconds.
-_TRAVEL_S = 0.0005
+#: Network delay between a box and a target in one direction, in seconds.
+_ONE_WAY_DELAY_S = 0.0005
 _PROBES_PER_S = 60.0
-_CALLER_TRIES = 3
+_CALLER_ATTEMPTS = 3
 
 
 @dataclass(frozen=True, slots=True)
 class TargetModel:
-    """How targets work.
+    """How simulated targets process requests.
 
     Parameters
     ----------
     name : str
-    count, slots, queue : int
+    count : int
+        Number of targets.
+    slots, queue : int
+        Requests that a target processes at once, and queues at most.
     work_s : float
-        Mean time of a request at an empty target of usual speed.
-    slowed : callable
-        Times longer that work takes which starts at a fill from 0 to 1.
-    slow_share, slow_x, slow_every_s : float
-        Share of the time in which a target is slow, how many times, and for how long.
+        Mean processing time of a request at an idle target of usual speed, in seconds.
+    slowdown : callable
+        Factor on the processing time by the utilisation at its start, from 0 to 1.
+    slow_fraction : float
+        Fraction of the time in which a target is slow.
+    slow_factor : float
+        Factor on the processing time while a target is slow.
+    slow_period_s : float
+        Mean time between changes of speed, in seconds.
     """
 
     name: str
@@ -74,34 +81,34 @@
     slots: int = 6
     queue: int = 12
     work_s: float = 0.22
-    slowed: Callable[[float], float] = lambda fill: 1.7 if fill > 0.8 else 1.0
-    slow_share: float = 0.25
-    slow_x: float = 5.0
-    slow_every_s: float = 0.15
+    slowdown: Callable[[float], float] = lambda utilisation: 1.7 if utilisation > 0.8 else 1.0
+    slow_fraction: float = 0.25
+    slow_factor: float = 5.0
+    slow_period_s: float = 0.15
 
     @property
     def capacity(self) -> float:
-        """Requests a second that all targets end at the best fullness and usual speed."""
-        best = max(n / self.slowed(n / self.slots) for n in range(1, self.slots + 1))
-        return self.count * best / self.work_s
+        """Requests per second that all targets complete at usual speed and best utilisation."""
+        max_concurrency = max(n / self.slowdown(n / self.slots) for n in range(1, self.slots + 1))
+        return self.count * max_concurrency / self.work_s
 
     @property
     def target_latency(self) -> float:
-        """Time within which an answer counts: as on the site first measured."""
+        """Maximum latency of an answer that counts as in time, in seconds."""
         return self.work_s * 600 / 220
 
 
 MODELS = (
     TargetModel("slowed when nearly full"),
-    TargetModel("never slowed", slowed=lambda fill: 1.0),
-    TargetModel("slowed early", slowed=lambda fill: 3.0 if fill > 0.55 else 1.0),
-    TargetModel("2 slots", count=39, slots=2, queue=4, slowed=lambda fill: 1.0),
+    TargetModel("never slowed", slowdown=lambda utilisation: 1.0),
+    TargetModel("slowed early", slowdown=lambda utilisation: 3.0 if utilisation > 0.55 else 1.0),
+    TargetModel("2 slots", count=39, slots=2, queue=4, slowdown=lambda utilisation: 1.0),
     TargetModel("16 slots", count=5, slots=16, queue=32),
 )
 
 
 class ModelTarget:
-    """One target."""
+    """A simulated target."""
 
     def __init__(self, model: TargetModel, rng: random.Random) -> None:
         self._model = model
@@ -114,31 +121,31 @@
         self.name = ""
 
     def report(self) -> TargetReport:
-        """Return what the target tells of itself."""
-        slowness = self._model.slow_x if self._is_slow() else 1.0
-        return TargetReport(self._running, len(self._waiting), self._model.slots, slowness)
+        """Return the status report of the target."""
+        latency_ratio = self._model.slow_factor if self._is_slow() else 1.0
+        return TargetReport(self._running, len(self._waiting), self._model.slots, latency_ratio)
 
     def _is_slow(self) -> bool:
         now = self._loop.time()
         if now >= self._slow_until:
-            self._slow = self._rng.random() < self._model.slow_share
-            self._slow_until = now + self._model.slow_every_s * self._rng.uniform(0.5, 1.5)
+            self._slow = self._rng.random() < self._model.slow_fraction
+            self._slow_until = now + self._model.slow_period_s * self._rng.uniform(0.5, 1.5)
         return self._slow
 
-    async def work(self) -> bool:
-        """Work on one request; return False if it is refused."""
+    async def process(self) -> bool:
+        """Process a request; return False if the queue is full."""
         if self._running >= self._model.slots:
             if len(self._waiting) >= self._model.queue:
                 return False
-            turn = self._loop.create_future()
-            self._waiting.append(turn)
-            await turn
+            slot_free = self._loop.create_future()
+            self._waiting.append(slot_free)
+            await slot_free
         self._running += 1
-        took = self._model.work_s * self._rng.uniform(0.6, 1.4)
-        took *= self._model.slowed(self._running / self._model.slots)
-        took *= self._model.slow_x if self._is_slow() else 1.0
+        duration = self._model.work_s * self._rng.uniform(0.6, 1.4)
+        duration *= self._model.slowdown(self._running / self._model.slots)
+        duration *= self._model.slow_factor if self._is_slow() else 1.0
         try:
-            await asyncio.sleep(took)
+            await asyncio.sleep(duration)
         finally:
             self._running -= 1
             if self._waiting:
@@ -147,7 +154,7 @@
 
 
 class ModelAnswer:
-    """The answer of a model target: a head and nothing more."""
+    """The answer of a model target: a head and an empty body."""
 
     head = AnswerHead(200, "OK", (), 0)
 
@@ -165,21 +172,21 @@
 
 
 class ModelTargets:
-    """Reaches the model targets in place of connections."""
+    """A ``TargetPort`` that calls the model targets directly."""
 
     def __init__(self, targets: dict[str, ModelTarget]) -> None:
         self._targets = targets
 
     async def is_gone(self, address: str) -> bool:
-        """Return that the target is there: none ends in a model."""
+        """Return False: model targets do not exit."""
         return False
 
     async def probe(self, address: str, path: str) -> ProbeResult:
-        """Probe a target."""
-        await asyncio.sleep(_TRAVEL_S)
+        """Probe a target and return its report."""
+        await asyncio.sleep(_ONE_WAY_DELAY_S)
         target = self._targets[address]
         report = target.report()
-        await asyncio.sleep(_TRAVEL_S)
+        await asyncio.sleep(_ONE_WAY_DELAY_S)
         return ProbeResult(target.name, True, TargetStatus(report))
 
     def release(self, address: str, probe_result: ProbeResult) -> None:
@@ -195,16 +202,18 @@
         on_status: Callable[[TargetStatus], None],
         **_: object,
     ) -> AttemptEnd:
-        """Have a target work on a request."""
+        """Send a request to a target."""
         target = self._targets[address]
-        await asyncio.sleep(_TRAVEL_S)
+        await asyncio.sleep(_ONE_WAY_DELAY_S)
         try:
             async with asyncio.timeout(remaining):
-                done = await target.work()
+                completed = await target.process()
         except TimeoutError:
-            return Broken(Reason.TARGET_BROKEN, "the target gave up at the deadline", 504)
-        await asyncio.sleep(_TRAVEL_S)
-        if not done:
+            return Broken(
+                Reason.TARGET_BROKEN, "the target cancelled the request at the deadline", 504
+            )
+        await asyncio.sleep(_ONE_WAY_DELAY_S)
+        if not completed:
             on_status(TargetStatus(target.report()))
             return NotRun(503, wrong_target=False)
         on_status(TargetStatus(target.report()))
@@ -212,70 +221,72 @@
 
 
 class ModelReply:
-    """Keeps what a caller is answered."""
+    """Records the answer to a caller."""
 
     def __init__(self) -> None:
         self.begun = False
         self.status = 0
-        self.come_back_s = 0.0
+        self.retry_after_s = 0.0
 
     def reply(self, status: int, headers: Sequence[Header], body: bytes, phrase: str = "") -> None:
-        """Take a whole answer."""
+        """Record a complete answer."""
         self.status = status
-        self.come_back_s = float(next((h.value for h in headers if h.name == "Retry-After"), 0))
+        self.retry_after_s = float(next((h.value for h in headers if h.name == "Retry-After"), 0))
 
     def begin(
         self, status: int, headers: Sequence[Header], *, length: int | None, phrase: str = ""
     ) -> None:
-        """Take a head."""
+        """Record the head of an answer."""
         self.begun, self.status = True, status
 
     async def send(self, part: bytes) -> None:
-        """Drop a part of a body."""
+        """Discard a part of a body."""
 
     def finish(self) -> None:
         """Do nothing."""
 
 
-class NoObserver:
-    """Takes no note of ends."""
+class NullObserver:
+    """An observer that records nothing."""
 
     def request_ended(self, *_: object) -> None:
         """Do nothing."""
 
 
 @dataclass(slots=True)
-class Stretch:
-    """What came of the requests of a stretch of time, from their first tries on.
+class Interval:
+    """Results of the requests whose first attempt began in an interval of time.
 
     Parameters
     ----------
-    offered, tries : int
-        Requests, and what their callers sent for them.
-    ends : Counter
-        How many ended ``in-time`` or ``late``; the others by their last status.
-    held : float
-        Seconds for which boxes held requests that nobody served.
+    offered : int
+        Requests.
+    outcomes : Counter
+        Requests answered ``in-time`` or ``late``; the others by the status of the last attempt.
+    attempts_made : int
+        Attempts of callers, retries included.
+    held_s : float
+        Total time for which boxes held requests that were not served, in seconds.
     """
 
     offered: int = 0
-    ends: Counter[str] = field(default_factory=Counter)
-    tries: int = 0
-    held: float = 0.0
+    outcomes: Counter[str] = field(default_factory=Counter)
+    attempts_made: int = 0
+    held_s: float = 0.0
 
     @property
     def unserved(self) -> int:
-        """Requests that got no answer of a target."""
-        return self.offered - self.ends["in-time"] - self.ends["late"]
+        """Number of requests without an answer of a target."""
+        return self.offered - self.outcomes["in-time"] - self.outcomes["late"]
 
     @property
     def in_time(self) -> float:
         """Share of the requests that were answered within the target latency."""
-        return self.ends["in-time"] / max(1, self.offered)
+        return self.outcomes["in-time"] / max(1, self.offered)
 
 
-class Fleet:
-    """Boxes before model targets, with callers.
+class Simulation:
+    """Callers, boxes and model targets on the running event loop.
 
     Parameters
     ----------
@@ -287,29 +298,31 @@
         self._model = model
         self._rng = random.Random(seed)
         self._loop = asyncio.get_running_loop()
-        self._targets = {f"10.0.0.{n}:80": self._target(n) for n in range(model.count)}
-        self._boxes = [self._box(PLACES[n % len(PLACES)]) for n in range(BOXES)]
+        self._targets = {f"10.0.0.{n}:80": self._make_target(n) for n in range(model.count)}
+        self._boxes = [self._make_box(PLACES[n % len(PLACES)]) for n in range(BOXES)]
         self._callers: set[asyncio.Task[None]] = set()
-        self.stretches: dict[float, Stretch] = {}
+        self.intervals: dict[float, Interval] = {}
 
-    def _target(self, number: int) -> ModelTarget:
+    def _make_target(self, number: int) -> ModelTarget:
         target = ModelTarget(self._model, random.Random(self._rng.random()))
         target.name = f"i-{number}"
         return target
 
-    def _box(self, place: str) -> Forwarder:
+    def _make_box(self, place: str) -> Forwarder:
         clock = self._loop.time
         rng = random.Random(self._rng.random())
         instances = InstanceList()
         for number, (address, target) in enumerate(self._targets.items()):
-            where = PLACES[number % len(PLACES)]
+            target_place = PLACES[number % len(PLACES)]
             slots = self._model.slots
-            listed = ListedTarget(target.name, SERVICE, where, address, slots, False, 1, 0.0)
-            instances.apply(listed, 0.0)
+            listing = ListedTarget(
+                target.name, SERVICE, target_place, address, slots, False, 1, 0.0
+            )
+            instances.apply(listing, 0.0)
         probes = ProbeShare(_PROBES_PER_S, clock=clock)
         probes.boxes = BOXES
-        times = LatencyModel()
-        chooser = FreshReportChooser(place=place, latency_model=times, rng=rng)
+        latency_model = LatencyModel()
+        chooser = FreshReportChooser(place=place, latency_model=latency_model, rng=rng)
         targets = ModelTargets(self._targets)
         selector = TargetSelector(
             instances=instances,
@@ -320,25 +333,25 @@
             rng=rng,
             log=logging.getLogger("benchmarks"),
         )
-        table = self._table()
+        table = self._make_table()
         forwarder = Forwarder(
             routes=lambda: table,
             settings_age=lambda: 0.0,
             catching_up=lambda: False,
             instances=instances,
             chooser=chooser,
-            latency_model=times,
+            latency_model=latency_model,
             selector=selector,
             make_retry_share=lambda: RetryShare(ratio=0.2, slack=62, window=10, clock=clock),
             guard=CrashGuard(CrashLog(clock=clock), targets, publish=lambda _: None),
             targets=targets,
-            observer=NoObserver(),
+            observer=NullObserver(),
             rng=rng,
         )
         forwarder.set_boxes(BOXES)
         return forwarder
 
-    def _table(self) -> RouteTable:
+    def _make_table(self) -> RouteTable:
         latency = self._model.target_latency
         kind = RequestKind(
             name="read",
@@ -355,51 +368,51 @@
         services = {SERVICE: ServiceInfo(SERVICE, "/health", 260)}
         return RouteTable(1, (kind,), services, CallerLimits())
 
-    async def play(self, loads: Sequence[tuple[float, float]], *, every: float) -> None:
-        """Offer loads one after the other.
+    async def simulate(self, loads: Sequence[tuple[float, float]], *, interval_s: float) -> None:
+        """Offer loads one after the other and wait for the last request.
 
         Parameters
         ----------
         loads : sequence of (float, float)
-            Multiples of the capacity, each with the seconds for which it is offered.
-        every : float
-            Seconds of a stretch.
+            Multiples of the capacity, each with its duration in seconds.
+        interval_s : float
+            Length of the intervals for which results are recorded, in seconds.
         """
         for load, seconds in loads:
-            until = self._loop.time() + seconds
-            while self._loop.time() < until:
+            deadline_at = self._loop.time() + seconds
+            while self._loop.time() < deadline_at:
                 await asyncio.sleep(self._rng.expovariate(load * self._model.capacity))
-                begun = self._loop.time() // every * every
-                stretch = self.stretches.setdefault(begun, Stretch())
-                stretch.offered += 1
-                task = self._loop.create_task(self._call(stretch))
+                started = self._loop.time() // interval_s * interval_s
+                interval = self.intervals.setdefault(started, Interval())
+                interval.offered += 1
+                task = self._loop.create_task(self._call(interval))
                 self._callers.add(task)
                 task.add_done_callback(self._callers.discard)
         await asyncio.gather(*self._callers)
 
-    async def _call(self, stretch: Stretch) -> None:
-        """Ask as a caller does, again after a refusal."""
-        first = self._loop.time()
-        deadline = first + self._model.target_latency * 20 / 3
+    async def _call(self, interval: Interval) -> None:
+        """Send a request as a caller does, with retries after refusals."""
+        first_attempt_at = self._loop.time()
+        deadline = first_attempt_at + self._model.target_latency * 20 / 3
         reply = ModelReply()
-        held = 0.0
-        for _ in range(_CALLER_TRIES):
+        held_s = 0.0
+        for _ in range(_CALLER_ATTEMPTS):
             now = self._loop.time()
-            stretch.tries += 1
+            interval.attempts_made += 1
             request = CallerRequest("r", "GET", "/", HOST, (), now, deadline)
             box = self._rng.choice(self._boxes)
             reply = ModelReply()
             await box.serve(request, _no_body(), reply)
-            held += self._loop.time() - now
+            held_s += self._loop.time() - now
             if reply.status == 200:
                 break
-            await asyncio.sleep(reply.come_back_s)
-        took = self._loop.time() - first
-        late = "late" if reply.status == 200 else f"{reply.status}"
+            await asyncio.sleep(reply.retry_after_s)
+        duration = self._loop.time() - first_attempt_at
+        outcome = "late" if reply.status == 200 else f"{reply.status}"
         if reply.status != 200:
-            stretch.held += held
-        in_time = reply.status == 200 and took <= self._model.target_latency
-        stretch.ends["in-time" if in_time else late] += 1
+            interval.held_s += held_s
+        in_time = reply.status == 200 and duration <= self._model.target_latency
+        interval.outcomes["in-time" if in_time else outcome] += 1
 
 
 async def _no_body() -> AsyncIterator[bytes]:
@@ -407,51 +420,67 @@
     yield b""
 
 
-def play(
-    model: TargetModel, loads: Sequence[tuple[float, float]], *, seed: int, every: float
-) -> list[tuple[float, Stretch]]:
-    """Return what came of each stretch of time, in order."""
+def simulate(
+    model: TargetModel, loads: Sequence[tuple[float, float]], *, seed: int, interval_s: float
+) -> list[tuple[float, Interval]]:
+    """Simulate loads and return the results of each interval, by its start in seconds.
 
-    async def run() -> dict[float, Stretch]:
-        fleet = Fleet(model, seed=seed)
-        await fleet.play(loads, every=every)
-        return fleet.stretches
+    Parameters
+    ----------
+    model : TargetModel
+    loads : sequence of (float, float)
+        Multiples of the capacity, each with its duration in seconds.
+    seed : int
+    interval_s : float
+        Length of an interval, in seconds.
+    """
+
+    async def run() -> dict[float, Interval]:
+        simulation = Simulation(model, seed=seed)
+        await simulation.simulate(loads, interval_s=interval_s)
+        return simulation.intervals
 
     return sorted(run_virtually(run()).items())
 
 
 def goodput(model: TargetModel, load: float, *, seed: int, seconds: float = 6.0) -> float:
-    """Return the requests ended in time at a load, as a multiple of the capacity."""
-    return offer(model, load, seed=seed, seconds=seconds).ends["in-time"] / seconds / model.capacity
+    """Return the goodput at a load, as a multiple of the capacity."""
+    return (
+        offer(model, load, seed=seed, seconds=seconds).outcomes["in-time"]
+        / seconds
+        / model.capacity
+    )
 
 
-def offer(model: TargetModel, load: float, *, seed: int, seconds: float = 6.0) -> Stretch:
-    """Return what came of a load offered for some seconds."""
-    ((_, stretch),) = play(model, [(load, seconds)], seed=seed, every=seconds)[:1]
-    return stretch
+def offer(model: TargetModel, load: float, *, seed: int, seconds: float = 6.0) -> Interval:
+    """Return the results of a load that is offered for some seconds."""
+    ((_, interval),) = simulate(model, [(load, seconds)], seed=seed, interval_s=seconds)[:1]
+    return interval
 
 
-def print_meter(model: TargetModel, loads: Sequence[float], seeds: Sequence[int]) -> None:
-    """Print what callers gain, from their first tries on, by offered load."""
-    found = [[offer(model, load, seed=seed) for seed in seeds] for load in loads]
-    figures: dict[str, Callable[[Stretch], float]] = {
+def print_request_metrics(model: TargetModel, loads: Sequence[float], seeds: Sequence[int]) -> None:
+    """Print the results per request, retries included, by offered load."""
+    results = [[offer(model, load, seed=seed) for seed in seeds] for load in loads]
+    metrics: dict[str, Callable[[Interval], float]] = {
         "in time, share": lambda s: s.in_time,
-        "late, share": lambda s: s.ends["late"] / s.offered,
+        "late, share": lambda s: s.outcomes["late"] / s.offered,
         "not served, share": lambda s: s.unserved / s.offered,
-        "tries": lambda s: s.tries / s.offered,
-        "held unserved, latencies": lambda s: s.held / max(1, s.unserved) / model.target_latency,
+        "tries": lambda s: s.attempts_made / s.offered,
+        "held unserved, latencies": lambda s: s.held_s / max(1, s.unserved) / model.target_latency,
     }
     print(model.name)
-    for name, figure in figures.items():
-        means = [sum(map(figure, stretches)) / len(stretches) for stretches in found]
+    for name, metric in metrics.items():
+        means = [sum(map(metric, intervals)) / len(intervals) for intervals in results]
         print(f"  {name:24}" + "".join(f"{mean:7.2f}" for mean in means))
 
 
 def main() -> None:
-    """Print the curve of each model, and the seconds after an overload."""
+    """Print the goodput of each model by load, and its recovery after an overload."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=2)
-    parser.add_argument("--meter", action="store_true", help="what callers gain instead")
+    parser.add_argument(
+        "--meter", action="store_true", help="print results per request instead, retries included"
+    )
     arguments = parser.parse_args()
     seeds = range(1, arguments.seeds + 1)
     logging.disable(logging.CRITICAL)
@@ -459,7 +488,7 @@
     if arguments.meter:
         print("from the first try on, by offered load " + "".join(f"{load:5.1f}" for load in loads))
         for model in MODELS:
-            print_meter(model, loads, seeds)
+            print_request_metrics(model, loads, seeds)
         return
     print("in time, as a multiple of the capacity, by offered load")
     print(f"{'targets':26}" + "".join(f"{load:7.1f}" for load in loads))
@@ -469,9 +498,9 @@
     print("share in time in each half second, after 2.5 for 5 s and from then on 0.5")
     for model in MODELS:
         for seed in seeds:
-            stretches = play(model, [(0.5, 3), (2.5, 5), (0.5, 4)], seed=seed, every=0.5)
-            after = [stretch.in_time for begun, stretch in stretches if begun >= 8.0]
-            print(f"{model.name:26}" + "".join(f"{share:6.2f}" for share in after))
+            intervals = simulate(model, [(0.5, 3), (2.5, 5), (0.5, 4)], seed=seed, interval_s=0.5)
+            shares = [interval.in_time for started, interval in intervals if started >= 8.0]
+            print(f"{model.name:26}" + "".join(f"{share:6.2f}" for share in shares))
 
 
 if __name__ == "__main__":
--- a/tests/test_goodput.py
+++ b/tests/test_goodput.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from benchmarks.goodput import MODELS, goodput, play
+from benchmarks.goodput import MODELS, goodput, simulate
 
 
 @pytest.fixture(autouse=True)
@@ -31,7 +31,7 @@
 
 @pytest.mark.parametrize("model", MODELS, ids=lambda model: model.name)
 def test_two_seconds_after_an_overload_nine_in_ten_requests_are_in_time(model):
-    stretches = play(model, [(0.4, 1.0), (2.5, 3.0), (0.4, 4.0)], seed=1, every=0.5)
+    stretches = simulate(model, [(0.4, 1.0), (2.5, 3.0), (0.4, 4.0)], seed=1, interval_s=0.5)
     after = [stretch for begun, stretch in stretches if begun >= 6.0]
     offered = sum(stretch.offered for stretch in after)
-    assert sum(stretch.ends["in-time"] for stretch in after) > 0.9 * offered
+    assert sum(stretch.outcomes["in-time"] for stretch in after) > 0.9 * offered
