--- a/benchmarks/control.py
+++ b/benchmarks/control.py
@@ -1,7 +1,7 @@
-"""What a real box spends on control, against boxes: ``python -m benchmarks.control``.
+"""Cost of an idle box by number of boxes: ``python -m benchmarks.control``.
 
-Real daemons with the settings of today and no calls.  Prints processor share,
-memory, bytes sent to peers and reads of the table, for each box.
+Runs daemons with default settings and no calls.  Prints the processor share,
+memory, bytes sent to peers and reads of the settings table, per box.
 """
 
 from __future__ import annotations
@@ -24,13 +24,20 @@
 
 
 def resident_mb(pid: int) -> float:
-    """Return the resident memory of a process, in MB."""
+    """Return the resident memory of a process, in MiB."""
     status = Path(f"/proc/{pid}/status").read_text(encoding="ascii")
     return int(status.split("VmRSS:")[1].split()[0]) / 1024
 
 
 def measure(boxes: int, seconds: float) -> tuple[float, float, float, float]:
-    """Return processor share, MB, bytes a second and table reads a second, for each box."""
+    """Measure a system of ``boxes`` boxes for some seconds.
+
+    Returns
+    -------
+    tuple of float
+        Means per box: processor share, memory in MiB, bytes sent to peers per second and
+        reads of the table per second.
+    """
     with tempfile.TemporaryDirectory() as directory, Fleet(Path(directory)) as fleet:
         fleet.start_platform()
         fleet.start_boxes({f"box-{n:02}": PLACES[n % 3] for n in range(boxes)})
@@ -43,43 +50,45 @@
         )
         time.sleep(_SETTLE_S)
         pids = [box.process.popen.pid for box in fleet.boxes.values()]
-        before = [cpu_seconds(pid) for pid in pids]
-        sent = [fleet.operator(name).status().peer_bytes for name in fleet.boxes]
-        reads = _reads(fleet)
+        cpus_before = [cpu_seconds(pid) for pid in pids]
+        sent_before = [fleet.operator(name).status().peer_bytes for name in fleet.boxes]
+        reads_before = _table_reads(fleet)
         began = time.monotonic()
         time.sleep(seconds)
-        took = time.monotonic() - began
-        cpu = [cpu_seconds(pid) - b for pid, b in zip(pids, before, strict=True)]
-        read = _reads(fleet) - reads
-        now = [fleet.operator(name).status().peer_bytes for name in fleet.boxes]
-        traffic = [n - s for n, s in zip(now, sent, strict=True)]
+        elapsed = time.monotonic() - began
+        cpu = [
+            cpu_seconds(pid) - cpu_before for pid, cpu_before in zip(pids, cpus_before, strict=True)
+        ]
+        table_reads = _table_reads(fleet) - reads_before
+        sent_after = [fleet.operator(name).status().peer_bytes for name in fleet.boxes]
+        sent = [n - s for n, s in zip(sent_after, sent_before, strict=True)]
         memory = statistics.fmean(resident_mb(pid) for pid in pids)
-        share = statistics.fmean(cpu) / took
-        return share, memory, statistics.fmean(traffic) / took, read / took / boxes
+        share = statistics.fmean(cpu) / elapsed
+        return share, memory, statistics.fmean(sent) / elapsed, table_reads / elapsed / boxes
 
 
-def _reads(fleet: Fleet) -> int:
+def _table_reads(fleet: Fleet) -> int:
     answer = json.loads(fleet.post(fleet.platform_faults, "/faults", PlatformFaults()))
     return int(answer["reads"])
 
 
 def main() -> None:
-    """Measure and fit."""
+    """Measure all sizes, print the results and fit lines to them."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seconds", type=float, default=8.0)
     arguments = parser.parse_args()
     rows = [measure(size, arguments.seconds) for size in SIZES]
     print("boxes  processor      MB  bytes/s  reads/s, each for one box")
-    for size, (cpu, memory, sent, reads) in zip(SIZES, rows, strict=True):
-        print(f"{size:5} {cpu:10.2%} {memory:7.1f} {sent:8.0f} {reads:8.2f}")
+    for size, (cpu, memory, sent_before, reads_before) in zip(SIZES, rows, strict=True):
+        print(f"{size:5} {cpu:10.2%} {memory:7.1f} {sent_before:8.0f} {reads_before:8.2f}")
     for index, (name, unit) in enumerate(
         (("processor", "%"), ("memory", "MB"), ("sent to peers", "bytes/s"))
     ):
         scale = 100 if index == 0 else 1
-        line = fit(name, unit, "box", SIZES, [row[index] * scale for row in rows])
+        fitted = fit(name, unit, "box", SIZES, [row[index] * scale for row in rows])
         print(
-            f"{line.name}: {line.at_zero:.3f} + {line.slope:.4f} (+- {line.error:.4f}) "
-            f"{line.unit} a box"
+            f"{fitted.name}: {fitted.at_zero:.3f} + {fitted.slope:.4f} (+- {fitted.error:.4f}) "
+            f"{fitted.unit} a box"
         )
 
 
--- a/benchmarks/hop.py
+++ b/benchmarks/hop.py
@@ -1,7 +1,7 @@
-"""Measure what a box adds to a call: ``python -m benchmarks.hop``.
+"""Measure the latency that a box adds to a call: ``python -m benchmarks.hop``.
 
-Direct calls to a target and calls by way of a box take turns within one run,
-at 1, 8 and 32 callers, paced at 95 calls a second in all and flat out.
+Direct calls to a target alternate with calls through a box within one run, from
+1, 8 and 32 callers, at 95 calls per second in total and at the maximum rate.
 """
 
 from __future__ import annotations
@@ -24,15 +24,15 @@
     from collections.abc import Callable
 
 CALLERS = (1, 8, 32)
-#: Calls a second for one node at the size designed for: 410,000 over 4,300.
-PACE = 95.0
+#: Load of one box in the paced rounds: 410,000 calls per second on 4,300 boxes.
+CALLS_PER_S = 95.0
 ROUNDS = 10
 _TICKS = os.sysconf("SC_CLK_TCK")
-_READ = 65536
+_READ_BYTES = 65536
 
 
 class Connection:
-    """A plain connection that sends one prepared request again and again."""
+    """A connection that sends the same request for each call."""
 
     def __init__(self, address: str) -> None:
         host, _, port = address.rpartition(":")
@@ -44,68 +44,90 @@
         ).encode()
 
     def call(self) -> None:
-        """Send the request and read the whole answer."""
+        """Send the request and read the complete answer."""
         self._sock.sendall(self._request)
         data = b""
         while b"\r\n\r\n" not in data:
-            data += self._sock.recv(_READ)
+            data += self._sock.recv(_READ_BYTES)
         head, _, body = data.partition(b"\r\n\r\n")
         if not head.startswith(b"HTTP/1.1 200"):
-            msg = f"unexpected answer: {data[:300]!r}"
+            msg = f"expected status 200, received: {data[:300]!r}"
             raise RuntimeError(msg)
         length = int(head.lower().split(b"content-length:")[1].split(b"\r\n")[0])
         while len(body) < length:
-            body += self._sock.recv(_READ)
+            body += self._sock.recv(_READ_BYTES)
 
 
 @dataclass(slots=True)
 class Series:
-    """What one way came to: times in seconds, calls, seconds, processor seconds."""
-
-    times: list[float] = field(default_factory=list)
+    """Measurements of one route: direct, or through the box.
+
+    Parameters
+    ----------
+    latencies : list of float
+        In seconds.
+    seconds : float
+        Duration of all rounds.
+    cpu_s : float
+        Processor time of the box during all rounds, in seconds.
+    """
+
+    latencies: list[float] = field(default_factory=list)
     seconds: float = 0.0
-    cpu: float = 0.0
+    cpu_s: float = 0.0
 
-    def show(self, share: float) -> float:
-        """Return a quantile in milliseconds."""
-        return quantile(sorted(self.times), share) * 1000
+    def quantile_ms(self, fraction: float) -> float:
+        """Return a quantile of the latency, in milliseconds."""
+        return quantile(sorted(self.latencies), fraction) * 1000
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return the processor time that a process has used."""
+    """Return the processor time that a process has used, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text(encoding="ascii").rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / _TICKS
 
 
-def run_round(connections: list[Connection], seconds: float, pace: float | None) -> list[float]:
-    """Call on all connections at once; return the times, from when each call was due."""
-    times: list[float] = []
+def run_round(
+    connections: list[Connection], seconds: float, calls_per_s: float | None
+) -> list[float]:
+    """Call on all connections in parallel; return the latencies, in seconds.
+
+    Parameters
+    ----------
+    connections : list of Connection
+    seconds : float
+        Duration of the round.
+    calls_per_s : float or None
+        Total rate; latencies count from the time at which a call was due.  If None, each
+        connection sends a call as soon as the previous one has ended.
+    """
+    latencies: list[float] = []
     start = time.perf_counter() + 0.02
 
     def caller(number: int) -> None:
         connection = connections[number]
-        gap = len(connections) / pace if pace else 0.0
-        due = start + gap * number / len(connections)
+        interval = len(connections) / calls_per_s if calls_per_s else 0.0
+        due = start + interval * number / len(connections)
         end = start + seconds
-        own = []
+        caller_latencies = []
         while True:
             wait = due - time.perf_counter()
             if wait > 0:
                 time.sleep(wait)
-            began = due if pace else time.perf_counter()
+            began = due if calls_per_s else time.perf_counter()
             if began >= end:
                 break
             connection.call()
-            own.append(time.perf_counter() - began)
-            due += gap
-        times.extend(own)
+            caller_latencies.append(time.perf_counter() - began)
+            due += interval
+        latencies.extend(caller_latencies)
 
     threads = [threading.Thread(target=caller, args=(n,)) for n in range(len(connections))]
     for thread in threads:
         thread.start()
     for thread in threads:
         thread.join()
-    return times
+    return latencies
 
 
 def compare(
@@ -115,38 +137,42 @@
     box_pid: int,
     callers: int,
     seconds: float,
-    pace: float | None,
+    calls_per_s: float | None,
 ) -> None:
-    """Let both ways take turns, and print what the box adds."""
-    ways = {"direct": direct, "through": through}
-    connections = {name: [make() for _ in range(callers)] for name, make in ways.items()}
-    series = {name: Series() for name in ways}
-    for name in ways:
-        run_round(connections[name], 0.5, pace)
+    """Measure both routes in alternating rounds and print the difference."""
+    routes = {"direct": direct, "through": through}
+    connections = {name: [connect() for _ in range(callers)] for name, connect in routes.items()}
+    series = {name: Series() for name in routes}
+    for name in routes:
+        run_round(connections[name], 0.5, calls_per_s)
     for _ in range(ROUNDS):
-        for name, one in series.items():
+        for name, measured in series.items():
             before = cpu_seconds(box_pid)
             began = time.perf_counter()
-            one.times += run_round(connections[name], seconds / ROUNDS, pace)
-            one.seconds += time.perf_counter() - began
-            one.cpu += cpu_seconds(box_pid) - before
-    near, far = series["direct"], series["through"]
-    idle = near.cpu / near.seconds
-    per_call = (far.cpu - idle * far.seconds) / len(far.times) * 1e6
-    added = [far.show(q) - near.show(q) for q in (0.5, 0.99, 0.999)]
-    ratios = [far.show(q) / near.show(q) for q in (0.5, 0.99, 0.999)]
+            measured.latencies += run_round(connections[name], seconds / ROUNDS, calls_per_s)
+            measured.seconds += time.perf_counter() - began
+            measured.cpu_s += cpu_seconds(box_pid) - before
+    direct_series, box_series = series["direct"], series["through"]
+    idle_cpu = direct_series.cpu_s / direct_series.seconds
+    cpu_us_per_call = (
+        (box_series.cpu_s - idle_cpu * box_series.seconds) / len(box_series.latencies) * 1e6
+    )
+    added = [box_series.quantile_ms(q) - direct_series.quantile_ms(q) for q in (0.5, 0.99, 0.999)]
+    ratios = [box_series.quantile_ms(q) / direct_series.quantile_ms(q) for q in (0.5, 0.99, 0.999)]
     print(
-        f"{callers:7} {'paced' if pace else 'flat':>6} {len(far.times):7} "
+        f"{callers:7} {'paced' if calls_per_s else 'flat':>6} {len(box_series.latencies):7} "
         f"{added[0]:8.3f} {added[1]:8.3f} {added[2]:8.3f}   "
         f"{ratios[0]:5.2f} {ratios[1]:5.2f} {ratios[2]:5.2f} "
-        f"{len(far.times) / far.seconds:8.0f} {per_call:9.0f}"
+        f"{len(box_series.latencies) / box_series.seconds:8.0f} {cpu_us_per_call:9.0f}"
     )
 
 
 def main() -> None:
-    """Measure the hop."""
+    """Measure all numbers of callers, paced and at the maximum rate."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--seconds", type=float, default=20.0, help="for each way, paced")
+    parser.add_argument(
+        "--seconds", type=float, default=20.0, help="duration of the paced rounds of each route"
+    )
     parser.add_argument("--callers", type=int, nargs="*", default=list(CALLERS))
     parser.add_argument("--flat-seconds", type=float, default=5.0)
     arguments = parser.parse_args()
@@ -166,7 +192,10 @@
             "callers   load   calls      p50      p99    p99.9     p50   p99 p99.9  calls/s"
             "   us/call"
         )
-        for pace, seconds in ((PACE, arguments.seconds), (None, arguments.flat_seconds)):
+        for calls_per_s, seconds in (
+            (CALLS_PER_S, arguments.seconds),
+            (None, arguments.flat_seconds),
+        ):
             for callers in arguments.callers:
                 compare(
                     lambda: Connection(targets[0]),
@@ -174,7 +203,7 @@
                     box_pid=box.process.popen.pid,
                     callers=callers,
                     seconds=seconds,
-                    pace=pace,
+                    calls_per_s=calls_per_s,
                 )
 
 
--- a/benchmarks/propagation.py
+++ b/benchmarks/propagation.py
@@ -1,7 +1,8 @@
-"""Time from commit until an edit is in force on all boxes: ``python -m benchmarks.propagation``.
+"""Time until an edit is in force on all boxes: ``python -m benchmarks.propagation``.
 
-Eighteen real daemons in three places and the platform's stand-in, with the
-table well, slow, down after the commit, and the list lagging.
+Runs eighteen daemons in three places and the platform stand-in.  The scenarios
+are a healthy table, a slow table, a table that is down after the commit, and a
+list of boxes that is out of date.
 """
 
 from __future__ import annotations
@@ -27,24 +28,40 @@
 PLACES = ("hall-a", "hall-b", "hall-c")
 BOXES = 18
 ROUNDS = 10
-_ASK_S = 15.0
+_EDIT_TIMEOUT_S = 15.0
 
 
-def one_edit(fleet: Fleet, name: str, rank: int, after_commit: Callable[[], None]) -> float:
-    """Make an edit at one box; return seconds until all boxes have it in force."""
+def time_edit(fleet: Fleet, name: str, rank: int, after_commit: Callable[[], None]) -> float:
+    """Apply an edit through a box; return the time until all boxes confirm it, in seconds.
+
+    Parameters
+    ----------
+    fleet : Fleet
+    name : str
+        The box.
+    rank : int
+        Value of the setting that the edit changes.
+    after_commit : callable
+        Called once the edit is committed.
+
+    Raises
+    ------
+    RuntimeError
+        If the edit is not accepted.
+    """
     client = fleet.operator(name)
     version = client.tree().version + 1
     edit = Edit(uuid.uuid4().hex, version - 1, "bench", (Change("/", "rank", str(rank)),))
     with ThreadPoolExecutor(1) as pool:
         began = time.perf_counter()
-        asked = pool.submit(client.edit, EditRequest(edit, _ASK_S))
+        pending_edit = pool.submit(client.edit, EditRequest(edit, _EDIT_TIMEOUT_S))
         wait_until(lambda: client.status().version >= version, what="the commit")
         committed = time.perf_counter()
         after_commit()
-        result = asked.result()
+        result = pending_edit.result()
         ended = time.perf_counter()
     if result.status is not EditStatus.ACCEPTED:
-        msg = f"edit ended as {result.status}: {result.missing} {result.detail}"
+        msg = f"edit ended as {result.status}; boxes missing: {result.missing}; {result.detail}"
         raise RuntimeError(msg)
     print(
         f"    {name}: commit {1000 * (committed - began):6.0f} ms, "
@@ -54,7 +71,7 @@
 
 
 def main() -> None:
-    """Measure propagation."""
+    """Measure all scenarios and print the results."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--rounds", type=int, default=ROUNDS)
     parser.add_argument("--boxes", type=int, default=BOXES)
@@ -64,23 +81,31 @@
         fleet.start_boxes({f"box-{n:02}": PLACES[n % 3] for n in range(arguments.boxes)})
         fleet.wait_for_membership(arguments.boxes)
         names = sorted(fleet.boxes)
-        well = PlatformFaults()
-        scenes: dict[str, tuple[PlatformFaults, PlatformFaults]] = {
-            "table well": (well, well),
-            "table slow, 0.3 s an answer": (replace(well, slow_s=0.3), replace(well, slow_s=0.3)),
-            "table down after the commit": (well, replace(well, down=True)),
-            "list lagging": (replace(well, list_frozen=True),) * 2,
+        no_faults = PlatformFaults()
+        scenarios: dict[str, tuple[PlatformFaults, PlatformFaults]] = {
+            "table well": (no_faults, no_faults),
+            "table slow, 0.3 s an answer": (
+                replace(no_faults, slow_s=0.3),
+                replace(no_faults, slow_s=0.3),
+            ),
+            "table down after the commit": (no_faults, replace(no_faults, down=True)),
+            "list lagging": (replace(no_faults, list_frozen=True),) * 2,
         }
-        for title, (before, after) in scenes.items():
+        for title, (before, after) in scenarios.items():
             print(title)
             times = []
             for number in range(arguments.rounds):
                 fleet.set_platform_faults(before)
                 name = names[(number * 7) % len(names)]
                 times.append(
-                    one_edit(fleet, name, number % 10, lambda a=after: fleet.set_platform_faults(a))  # type: ignore[misc]
+                    time_edit(
+                        fleet,
+                        name,
+                        number % 10,
+                        lambda a=after: fleet.set_platform_faults(a),  # type: ignore[misc]
+                    )
                 )
-                fleet.set_platform_faults(well)
+                fleet.set_platform_faults(no_faults)
             times.sort()
             print(
                 f"  {title}: from asking to accepted by all, p50 "
