--- a/benchmarks/steering.py
+++ b/benchmarks/steering.py
@@ -1,7 +1,8 @@
-"""Steer callers to boxes while boxes come, go and slow down: ``python -m benchmarks.steering``.
+"""Distribution of callers over boxes while boxes change: ``python -m benchmarks.steering``.
 
-Real steering and membership objects on a clock moved by hand.  Load is calls
-in flight: each caller's pace times the time its box takes.
+Boxes join, drain, die and slow down on a simulated clock.  The load of a box is
+its calls in flight: the calls per second of its callers times the duration of a
+call.
 """
 
 from __future__ import annotations
@@ -24,34 +25,49 @@
 PLACES = ("hall-a", "hall-b", "hall-c")
 BOXES = 18
 CALLERS = 900
-KEEP_S = 10.0
-#: Calls a second of the middle caller; callers differ by a log-normal factor.
-PACE = 20.0
-TOOK_S = 0.02
+ANSWER_LIFETIME_S = 10.0
+#: Callers' rates have a log-normal distribution with this median.
+MEDIAN_CALLS_PER_S = 20.0
+CALL_S = 0.02
 SLOW_FACTOR = 10.0
 _SETTLE_S = 30
 
 
 @dataclass(slots=True)
 class Caller:
-    """A caller with the answer that it keeps."""
+    """A caller with its rate, and its box until the address answer expires."""
 
     name: str
     place: str
-    pace: float
+    calls_per_s: float
     box: str = ""
-    until: Seconds = 0.0
+    expires_at: Seconds = 0.0
 
 
-class World:
-    """Boxes and callers, second by second."""
+class Simulation:
+    """Boxes and callers, in steps of a second.
+
+    Parameters
+    ----------
+    seed : int
+
+    Attributes
+    ----------
+    rows : dict
+        Membership rows of the boxes, by name.
+    slow : set of str
+        Names of the boxes whose calls take ``SLOW_FACTOR`` times as long.
+    callers : list of Caller
+    moved : int
+        How often callers changed their box since the last printed line.
+    """
 
     def __init__(self, seed: int) -> None:
         self.now = 0.0
         self._rng = random.Random(seed)
         holder = SettingsHolder()
         self._tree = SettingsTree().apply(
-            Edit("a", 0, "anna", (Change("/", "keep_s", str(KEEP_S)),), 1)
+            Edit("a", 0, "anna", (Change("/", "keep_s", str(ANSWER_LIFETIME_S)),), 1)
         )
         self.rows = {f"box-{n}": self._row(n) for n in range(BOXES)}
         observer = replace(self.rows["box-0"], name="observer", state=RunState.DRAINING)
@@ -60,7 +76,9 @@
         self._link = LinkState()
         self.slow: set[str] = set()
         self.callers = [
-            Caller(f"caller-{n}", PLACES[n % 3], PACE * self._rng.lognormvariate(0, 0.8))
+            Caller(
+                f"caller-{n}", PLACES[n % 3], MEDIAN_CALLS_PER_S * self._rng.lognormvariate(0, 0.8)
+            )
             for n in range(CALLERS)
         ]
         self.moved = 0
@@ -86,11 +104,11 @@
         for caller in self.callers:
             factor = SLOW_FACTOR if caller.box in self.slow else 1.0
             if caller.box in loads:
-                loads[caller.box] += caller.pace * TOOK_S * factor
+                loads[caller.box] += caller.calls_per_s * CALL_S * factor
         return loads
 
     def run(self, seconds: int) -> None:
-        """Let rows be renewed and callers ask again as their answers lapse."""
+        """Update the rows each second, and the addresses of callers as their answers expire."""
         for _ in range(seconds):
             self.now += 1.0
             loads = self.loads()
@@ -99,26 +117,30 @@
             rows = tuple(self.rows.values())
             self._membership.apply(Sync("box-0", 1, 1, 0.0, rows), self._link)
             for caller in self.callers:
-                if caller.until <= self.now:
-                    self._ask(caller)
+                if caller.expires_at <= self.now:
+                    self._renew_address(caller)
 
-    def _ask(self, caller: Caller) -> None:
+    def _renew_address(self, caller: Caller) -> None:
         answer = self._steering.answer(self._tree, caller=caller.name, place=caller.place)
         box = answer.addresses[0].box
         self.moved += box != caller.box
         caller.box = box
-        caller.until = self.now + answer.keep_s
+        caller.expires_at = self.now + answer.keep_s
 
-    def show(self, title: str) -> None:
-        """Print how even the load is, and how many callers have moved."""
+    def print_load(self, title: str) -> None:
+        """Print how even the load is and how many callers changed their box."""
         loads = self.loads()
-        calls = {name: sum(c.pace for c in self.callers if c.box == name) for name in self.rows}
-        mean = sum(calls.values()) / len(calls)
-        near = sum(self.rows[c.box].place == c.place for c in self.callers if c.box in self.rows)
-        slow = sum(calls[name] for name in self.slow if name in calls) / mean
+        calls = {
+            name: sum(c.calls_per_s for c in self.callers if c.box == name) for name in self.rows
+        }
+        mean_calls = sum(calls.values()) / len(calls)
+        same_place = sum(
+            self.rows[c.box].place == c.place for c in self.callers if c.box in self.rows
+        )
+        slow = sum(calls[name] for name in self.slow if name in calls) / mean_calls
         print(
-            f"{title:34} calls max/mean {max(calls.values()) / mean:5.2f}  "
-            f"min/mean {min(calls.values()) / mean:5.2f}  near {near / CALLERS:5.0%}  "
+            f"{title:34} calls max/mean {max(calls.values()) / mean_calls:5.2f}  "
+            f"min/mean {min(calls.values()) / mean_calls:5.2f}  near {same_place / CALLERS:5.0%}  "
             f"moved {self.moved / CALLERS:5.1%}  slow box {slow:5.2f}  "
             f"in flight max {max(loads.values()):5.1f}"
         )
@@ -126,27 +148,27 @@
 
 
 def main() -> None:
-    """Run the scenes."""
-    world = World(7)
-    world.run(_SETTLE_S)
-    world.show("18 boxes")
-    world.run(_SETTLE_S)
-    world.show("30 s later")
-    world.rows["box-18"] = world._row(18)  # noqa: SLF001
-    world.run(_SETTLE_S)
-    world.show("one joins")
-    world.rows["box-3"] = replace(world.rows["box-3"], state=RunState.DRAINING)
-    world.run(_SETTLE_S)
-    world.show("one drains")
-    del world.rows["box-4"]
-    world.run(_SETTLE_S)
-    world.show("one dies")
-    world.slow.add("box-5")
-    world.run(_SETTLE_S * 2)
-    world.show("one takes ten times as long")
-    world.slow.clear()
-    world.run(_SETTLE_S * 2)
-    world.show("it is well again")
+    """Run the scenario and print a line after each change."""
+    simulation = Simulation(7)
+    simulation.run(_SETTLE_S)
+    simulation.print_load("18 boxes")
+    simulation.run(_SETTLE_S)
+    simulation.print_load("30 s later")
+    simulation.rows["box-18"] = simulation._row(18)  # noqa: SLF001
+    simulation.run(_SETTLE_S)
+    simulation.print_load("one joins")
+    simulation.rows["box-3"] = replace(simulation.rows["box-3"], state=RunState.DRAINING)
+    simulation.run(_SETTLE_S)
+    simulation.print_load("one drains")
+    del simulation.rows["box-4"]
+    simulation.run(_SETTLE_S)
+    simulation.print_load("one dies")
+    simulation.slow.add("box-5")
+    simulation.run(_SETTLE_S * 2)
+    simulation.print_load("one takes ten times as long")
+    simulation.slow.clear()
+    simulation.run(_SETTLE_S * 2)
+    simulation.print_load("it is well again")
 
 
 if __name__ == "__main__":
