--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -1,7 +1,7 @@
-"""Cost of each part against its size: ``python -m benchmarks.slopes``.
+"""Cost of each part of a box by size: ``python -m benchmarks.slopes``.
 
-Each line is a straight line fitted to several sizes, with the standard error
-of its slope.  ``docs/CAPACITY.md`` is worked out from them.
+Fits a straight line to the costs at several sizes and prints it with the
+standard error of its slope.  ``docs/CAPACITY.md`` is derived from these lines.
 """
 
 from __future__ import annotations
@@ -36,14 +36,26 @@
     from collections.abc import Callable, Sequence
 
 PLACES = ("hall-a", "hall-b", "hall-c", "hall-d")
-LINKS = 3
-_LEAST_S = 0.05
-_REPEATS = 5
+LINKS_PER_BOX = 3
+_MIN_SERIES_S = 0.05
+_SERIES = 5
 
 
 @dataclass(frozen=True, slots=True)
-class Line:
-    """A fitted line: ``at_zero + slope * size``, with the slope's standard error."""
+class FittedLine:
+    """A fitted line: ``at_zero + slope * size``.
+
+    Parameters
+    ----------
+    name : str
+    unit : str
+        Of the cost.
+    per : str
+        What ``size`` counts.
+    at_zero, slope : float
+    error : float
+        Standard error of ``slope``.
+    """
 
     name: str
     unit: str
@@ -53,42 +65,44 @@
     error: float
 
 
-def fit(name: str, unit: str, per: str, sizes: Sequence[float], costs: Sequence[float]) -> Line:
-    """Fit a line by least squares."""
-    found = statistics.linear_regression(sizes, costs)
+def fit(
+    name: str, unit: str, per: str, sizes: Sequence[float], costs: Sequence[float]
+) -> FittedLine:
+    """Fit a line to the costs at several sizes by least squares."""
+    regression = statistics.linear_regression(sizes, costs)
     mean = statistics.fmean(sizes)
     spread = sum((size - mean) ** 2 for size in sizes)
-    rest = sum(
-        (cost - found.intercept - found.slope * size) ** 2
+    squared_residuals = sum(
+        (cost - regression.intercept - regression.slope * size) ** 2
         for size, cost in zip(sizes, costs, strict=True)
     )
-    error = (rest / (len(sizes) - 2) / spread) ** 0.5
-    return Line(name, unit, per, found.intercept, found.slope, error)
+    error = (squared_residuals / (len(sizes) - 2) / spread) ** 0.5
+    return FittedLine(name, unit, per, regression.intercept, regression.slope, error)
 
 
-def micros(act: Callable[[], object]) -> float:
-    """Return the processor time of one ``act``, in microseconds: the least of some series."""
+def cpu_microseconds(action: Callable[[], object]) -> float:
+    """Return the processor time of one ``action``, in microseconds: the minimum of all series."""
     best = float("inf")
-    for _ in range(_REPEATS):
+    for _ in range(_SERIES):
         count, spent = 0, 0.0
-        while spent < _LEAST_S:
+        while spent < _MIN_SERIES_S:
             began = time.process_time()
-            act()
+            action()
             spent += time.process_time() - began
             count += 1
         best = min(best, spent / count)
     return best * 1e6
 
 
-def kilobytes(make: Callable[[], object]) -> float:
-    """Return the memory that ``make``'s result holds, in KB."""
+def held_kilobytes(make: Callable[[], object]) -> float:
+    """Return the memory that the result of ``make`` holds, in KiB."""
     gc.collect()
     tracemalloc.start()
-    kept = make()
+    result = make()
     gc.collect()
     size = tracemalloc.get_traced_memory()[0] / 1024
     tracemalloc.stop()
-    del kept
+    del result
     return size
 
 
@@ -112,7 +126,7 @@
 
 
 def tree(services: int, targets: int = 7) -> SettingsTree:
-    """Return a tree with so many services, each in two places with two kinds."""
+    """Return a settings tree of services, each in two places with two kinds."""
     nodes: dict[str, dict[str, str]] = {"/": {"boxes_max": "5000", "keep_s": "10"}}
     for number in range(services):
         for place in PLACES[:2]:
@@ -126,15 +140,15 @@
 
 
 def membership(count: int) -> Membership:
-    """Return what a box knows of ``count`` others."""
-    own = replace(rows(1)[0], name="own")
-    known = Membership(own, holder=SettingsHolder(), clock=lambda: 0.0)
-    known.apply(Sync("x", 1, 0, None, rows(count)), LinkState())
-    return known
+    """Return the membership of a box that knows ``count`` others."""
+    own_row = replace(rows(1)[0], name="own")
+    members = Membership(own_row, holder=SettingsHolder(), clock=lambda: 0.0)
+    members.apply(Sync("x", 1, 0, None, rows(count)), LinkState())
+    return members
 
 
-def choice_line() -> Line:
-    """Cost of a choice with its counting, against the candidates."""
+def choice_line() -> FittedLine:
+    """Cost of choosing a target and recording the call, by number of candidates."""
     sizes = (2, 5, 10, 20, 40)
     costs = []
     for size in sizes:
@@ -142,61 +156,63 @@
         records = [TargetRecord(f"10.0.0.{n}:80", "a", 6, 6.0) for n in range(size)]
         chooser.set_targets(records, {"a": 1.0})
 
-        def act(chooser: Chooser = chooser) -> None:
+        def action(chooser: Chooser = chooser) -> None:
             choice = chooser.choose(1.0)
             if choice is not None:
                 flight = chooser.begin(choice.target, 1.0, kind="a")
                 chooser.heard(choice.target, 1.0, 2)
                 chooser.finish(choice.target, flight, 1.0, kind="a", failed=False)
 
-        costs.append(micros(act))
+        costs.append(cpu_microseconds(action))
     return fit("choose, send, report, end", "us", "candidate", sizes, costs)
 
 
-def subset_line() -> Line:
-    """Cost of the subsets of one service, against boxes times targets."""
+def subset_line() -> FittedLine:
+    """Cost of assigning the subsets of a service, by boxes times targets."""
     sizes, costs = [], []
     for boxes, targets in ((6, 30), (18, 30), (50, 30), (50, 60), (100, 60)):
         names = [f"box-{n}" for n in range(boxes)]
         addresses = [f"10.0.0.{n}:80" for n in range(targets)]
         sizes.append(float(boxes * targets))
-        costs.append(micros(lambda n=names, a=addresses: assign_subsets(n, a, 10)))  # type: ignore[misc]
+        costs.append(cpu_microseconds(lambda n=names, a=addresses: assign_subsets(n, a, 10)))  # type: ignore[misc]
     return fit("subsets of a service", "us", "box x target", sizes, costs)
 
 
-def rebuild_line() -> Line:
-    """Cost of putting a tree in force, against services, with 18 boxes."""
+def rebuild_line() -> FittedLine:
+    """Cost of rebuilding the pools from a tree, by number of services, with 18 boxes."""
     sizes = (5, 10, 20, 40)
     costs = []
     for size in sizes:
         directory = PoolDirectory(
             box="box-00000", place="hall-a", clock=lambda: 0.0, rng=random.Random(1)
         )
-        found = tree(size)
+        settings_tree = tree(size)
         boxes = rows(18)
-        costs.append(micros(lambda d=directory, t=found, b=boxes: d.rebuild(t, b)))  # type: ignore[misc]
+        costs.append(
+            cpu_microseconds(lambda d=directory, t=settings_tree, b=boxes: d.rebuild(t, b))  # type: ignore[misc]
+        )
     return fit("pools rebuilt, 18 boxes, 14 targets a service", "us", "service", sizes, costs)
 
 
-def edit_line() -> Line:
-    """Cost of applying an edit, against the nodes of the tree."""
+def edit_line() -> FittedLine:
+    """Cost of applying an edit, by number of nodes of the tree."""
     sizes, costs = [], []
     for services in (10, 50, 200, 650):
-        found = tree(services)
+        settings_tree = tree(services)
         edit = Edit("e", 1, "anna", (Change("hall-a/service-1", "weight", "0.5"),), 2)
-        sizes.append(float(len(found.nodes)))
-        costs.append(micros(lambda t=found, e=edit: t.apply(e)))  # type: ignore[misc]
+        sizes.append(float(len(settings_tree.nodes)))
+        costs.append(cpu_microseconds(lambda t=settings_tree, e=edit: t.apply(e)))  # type: ignore[misc]
     return fit("edit applied", "us", "tree node", sizes, costs)
 
 
-def tree_lines() -> list[Line]:
-    """Memory, decoding and size of a tree, against its nodes."""
+def tree_lines() -> list[FittedLine]:
+    """Memory, decoding time and encoded size of a tree, by number of nodes."""
     sizes, memory, decoding, size = [], [], [], []
     for services in (10, 50, 200, 650):
         data = _codec.to_json(tree(services))
         sizes.append(float(len(tree(services).nodes)))
-        memory.append(kilobytes(lambda s=services: tree(s)))  # type: ignore[misc]
-        decoding.append(micros(lambda d=data: _codec.from_json(SettingsTree, d)))  # type: ignore[misc]
+        memory.append(held_kilobytes(lambda s=services: tree(s)))  # type: ignore[misc]
+        decoding.append(cpu_microseconds(lambda d=data: _codec.from_json(SettingsTree, d)))  # type: ignore[misc]
         size.append(len(data) / 1024)
     return [
         fit("tree held", "KB", "tree node", sizes, memory),
@@ -205,34 +221,36 @@
     ]
 
 
-def steering_line() -> Line:
-    """Cost of an address answer, against the boxes known."""
+def steering_line() -> FittedLine:
+    """Cost of an address answer, by number of known boxes."""
     sizes = (6, 18, 50, 200)
     costs = []
     for size in sizes:
         steering = Steering(membership(size), rng=random.Random(1))
-        found = tree(2)
+        settings_tree = tree(2)
         costs.append(
-            micros(lambda s=steering, t=found: s.answer(t, caller="branch-1", place="hall-a"))  # type: ignore[misc]
+            cpu_microseconds(
+                lambda s=steering, t=settings_tree: s.answer(t, caller="branch-1", place="hall-a")  # type: ignore[misc]
+            )
         )
     return fit("address answer", "us", "box known", sizes, costs)
 
 
-def link_lines() -> list[Line]:
-    """Cost and size of a turn of a link, against the rows in it, and memory of rows."""
+def link_lines() -> list[FittedLine]:
+    """Cost and size of a sync round, by number of its rows, and memory of the rows."""
     sizes = (0, 5, 18, 50, 200)
     costs, size, memory = [], [], []
     for count in sizes:
         sync = Sync("box-1", 1, 1, 0.5, rows(count))
         data = _codec.pack(sync)
 
-        def act(sync: Sync = sync) -> None:
+        def action(sync: Sync = sync) -> None:
             packed = _codec.pack(sync)
-            import_turn(packed)
+            unpack_sync(packed)
 
-        costs.append(micros(act))
+        costs.append(cpu_microseconds(action))
         size.append(float(len(data)))
-        memory.append(kilobytes(lambda c=count: membership(c)))  # type: ignore[misc]
+        memory.append(held_kilobytes(lambda c=count: membership(c)))  # type: ignore[misc]
     return [
         fit("turn packed and read", "us", "row", sizes, costs),
         fit("turn's size", "bytes", "row", sizes, size),
@@ -240,17 +258,17 @@
     ]
 
 
-def import_turn(packed: bytes) -> Sync:
-    """Read a packed turn, as the other end of a link does."""
+def unpack_sync(packed: bytes) -> Sync:
+    """Decode a sync message, as the receiving box does."""
     return _codec.from_plain(Sync, msgpack.unpackb(packed))
 
 
-def ledger_lines() -> list[Line]:
-    """Memory and cost of once-keys."""
+def ledger_lines() -> list[FittedLine]:
+    """Memory and cost of idempotency keys."""
     sizes = (1000, 5000, 20000)
     head = AnswerHead(200, "OK", (), 100)
 
-    def fill(count: int) -> IdempotencyLedger:
+    def make_ledger(count: int) -> IdempotencyLedger:
         ledger = IdempotencyLedger(clock=lambda: 1.0)
         for number in range(count):
             key = f"holdings/loan/box-00001~1796205229814327432~573829~{number:032}"
@@ -259,11 +277,11 @@
                 ledger.record_answer(entry, StoredAnswer(head, b"x" * 100))
         return ledger
 
-    memory = [kilobytes(lambda s=size: fill(s)) for size in sizes]  # type: ignore[misc]
+    memory = [held_kilobytes(lambda s=size: make_ledger(s)) for size in sizes]  # type: ignore[misc]
     costs = []
     for size in sizes:
         began = time.process_time()
-        fill(size)
+        make_ledger(size)
         costs.append((time.process_time() - began) * 1e6)
     return [
         fit("once-keys held, 100 bytes answered", "KB", "key", sizes, memory),
@@ -271,51 +289,53 @@
     ]
 
 
-def target_line() -> Line:
-    """Memory of what a box knows of a target."""
+def target_line() -> FittedLine:
+    """Memory of the records of targets."""
     sizes = (10, 100, 1000)
 
     def make(count: int) -> list[TargetRecord]:
         return [TargetRecord(f"10.0.{n // 250}.{n % 250}:80", "hall-a", 6) for n in range(count)]
 
-    memory = [kilobytes(lambda s=size: make(s)) for size in sizes]  # type: ignore[misc]
+    memory = [held_kilobytes(lambda s=size: make(s)) for size in sizes]  # type: ignore[misc]
     return fit("targets known", "KB", "target", sizes, memory)
 
 
-def hops_line() -> Line:
-    """Links between the two boxes farthest apart, against the doublings of boxes."""
+def hops_line() -> FittedLine:
+    """Maximum number of links between two boxes, by the binary logarithm of the boxes."""
     sizes, hops = [], []
     for count in (18, 60, 200, 700):
         graph = _graph(count)
-        far = max(_farthest(graph, start) for start in list(graph)[:: max(1, count // 20)])
+        max_hops = max(
+            _max_hops_from(graph, start) for start in list(graph)[:: max(1, count // 20)]
+        )
         sizes.append(math.log2(count))
-        hops.append(float(far))
+        hops.append(float(max_hops))
     return fit("links between the farthest boxes", "links", "doubling of boxes", sizes, hops)
 
 
 def _graph(count: int) -> dict[str, set[str]]:
-    known = rows(count)
-    graph: dict[str, set[str]] = {row.name: set() for row in known}
-    for row in known:
+    all_rows = rows(count)
+    graph: dict[str, set[str]] = {row.name: set() for row in all_rows}
+    for row in all_rows:
         members = Membership(row, holder=SettingsHolder(), clock=lambda: 0.0)
-        members.apply(Sync("x", 1, 0, None, known), LinkState())
-        for name in members.select_links(LINKS, []):
+        members.apply(Sync("x", 1, 0, None, all_rows), LinkState())
+        for name in members.select_links(LINKS_PER_BOX, []):
             graph[row.name].add(name)
             graph[name].add(row.name)
     return graph
 
 
-def _farthest(graph: dict[str, set[str]], start: str) -> int:
-    reached, edge, far = {start}, {start}, 0
+def _max_hops_from(graph: dict[str, set[str]], start: str) -> int:
+    reached, frontier, max_hops = {start}, {start}, 0
     while len(reached) < len(graph):
-        edge = {name for at in edge for name in graph[at]} - reached
-        reached |= edge
-        far += 1
-    return far
+        frontier = {name for at in frontier for name in graph[at]} - reached
+        reached |= frontier
+        max_hops += 1
+    return max_hops
 
 
 def main() -> None:
-    """Measure and print all lines."""
+    """Measure all costs and print the fitted lines."""
     began = time.monotonic()
     lines = [
         choice_line(),
