--- a/benchmarks/hop.py
+++ b/benchmarks/hop.py
@@ -24,7 +24,7 @@
     from collections.abc import Callable
 
 CALLERS = (1, 8, 32)
-#: Load of one box in the paced rounds: 410,000 calls per second on 4,300 boxes.
+#: Total rate of the paced rounds.
 CALLS_PER_S = 95.0
 ROUNDS = 10
 _TICKS = os.sysconf("SC_CLK_TCK")
