--- a/demo/users.py
+++ b/demo/users.py
@@ -162,7 +162,7 @@
         row = leaving.row("holdings", zone="hall-a", state="draining", sequence=2)
         fleet.store.put("servers", leaving.instance, row)
         for box in fleet.boxes:
-            await wait_until(lambda box=box: "target-leaving" in box.read_log(), "the worker leaves")  # type: ignore[misc]
+            await wait_until(lambda box=box: "target-leaving" in box.read_log(), "worker leaves")  # type: ignore[misc]
         lost += "worker-1" in await calls(
             "route moved back to holdings, worker-1 leaving", first_box
         )
