--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -37,7 +37,7 @@
         fleet.start_platform()
         targets = fleet.start_targets(2)
         fleet.start_boxes({"box-1": "hall-a", "box-2": "hall-b"})
-        fleet.wait_met(2)
+        fleet.wait_for_membership(2)
         fleet.edit(
             "box-1",
             Change("/", "boxes_max", "3"),
@@ -54,7 +54,7 @@
 
     def set_faults(target_faults):
         for index in range(len(fleet.targets)):
-            fleet.set_target(index, target_faults)
+            fleet.set_target_faults(index, target_faults)
 
     yield set_faults
     set_faults(TargetFaults())
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -25,7 +25,7 @@
         targets = fleet.start_targets(2)
         places = {"box-1": "hall-a", "box-2": "hall-b", "box-3": "hall-a"}
         fleet.start_boxes(places, extra=SHORT_PEER_TIMEOUTS)
-        fleet.wait_met(3)
+        fleet.wait_for_membership(3)
         fleet.edit(
             "box-1",
             *place_changes("hall-a", "holdings", targets),
@@ -52,7 +52,7 @@
         [b.caller for b in three_boxes.boxes.values()], caller="c", place="hall-b"
     )
     assert lookup(client).box == "box-2"
-    three_boxes.boxes["box-2"].process.end()
+    three_boxes.boxes["box-2"].process.kill()
     assert lookup(client).outcome is Outcome.ANSWERED
     three_boxes.restart_box("box-2")
     client.invalidate_addresses()
@@ -66,20 +66,20 @@
 
 def test_edit_is_pending_until_a_paused_box_resumes(three_boxes):
     box = three_boxes.boxes["box-3"]
-    box.process.signal(signal.SIGSTOP)
+    box.process.send_signal(signal.SIGSTOP)
     result = three_boxes.edit("box-1", Change("hall-a", "rank", "3"), wait_s=4.0)
     assert result.status is EditStatus.PENDING
     assert result.missing == ("box-3",)
-    box.process.signal(signal.SIGCONT)
+    box.process.send_signal(signal.SIGCONT)
     wait_for_version(three_boxes, result.version)
     direct = CallerClient([box.caller], caller="c")
     assert lookup(direct).outcome is Outcome.ANSWERED
 
 
 def test_box_started_during_a_table_outage_gets_the_settings_from_peers(three_boxes):
-    three_boxes.set_platform(PlatformFaults(down=True))
+    three_boxes.set_platform_faults(PlatformFaults(down=True))
     box = three_boxes.boxes["box-3"]
-    box.process.end()
+    box.process.kill()
     three_boxes.restart_box("box-3")
     newest = max(three_boxes.operator("box-1").status().version, 1)
     wait_until(
@@ -90,14 +90,14 @@
     assert refused.status is EditStatus.UNAVAILABLE
     client = CallerClient([box.caller], caller="c")
     assert lookup(client).outcome is Outcome.ANSWERED
-    three_boxes.set_platform(PlatformFaults())
+    three_boxes.set_platform_faults(PlatformFaults())
     assert three_boxes.edit("box-1", Change("hall-a", "rank", "4")).status is EditStatus.ACCEPTED
 
 
 def test_loan_at_a_paused_target_is_unknown_and_runs_at_most_once(three_boxes):
     mark = "paused-loan"
     for index in range(2):
-        three_boxes.targets[index].process.signal(signal.SIGSTOP)
+        three_boxes.targets[index].process.send_signal(signal.SIGSTOP)
     client = CallerClient([b.caller for b in three_boxes.boxes.values()], caller="c")
     entry = client.addresses().addresses[0]
     request = Request(
@@ -106,15 +106,15 @@
     key = entry.once_stem + mark
     outcomes = [client.send(request, entry, key).outcome for _ in range(3)]
     for index in range(2):
-        three_boxes.targets[index].process.signal(signal.SIGCONT)
+        three_boxes.targets[index].process.send_signal(signal.SIGCONT)
     assert set(outcomes) == {Outcome.UNKNOWN}
-    assert sum(three_boxes.report(i).runs.get(mark, 0) for i in range(2)) <= 1
+    assert sum(three_boxes.target_report(i).runs.get(mark, 0) for i in range(2)) <= 1
     assert lookup(client).outcome is Outcome.ANSWERED
 
 
 def test_truncated_answer_is_retried_or_reported_to_the_caller(three_boxes):
     for index in range(2):
-        three_boxes.set_target(index, TargetFaults(cut=1))
+        three_boxes.set_target_faults(index, TargetFaults(cut=1))
     client = CallerClient([b.caller for b in three_boxes.boxes.values()], caller="c")
     results = [lookup(client) for _ in range(4)]
     assert all(r.outcome is Outcome.ANSWERED or r.status in (0, 502) for r in results)
--- a/tests/test_system.py
+++ b/tests/test_system.py
@@ -36,7 +36,7 @@
 
 
 def runs(fleet, mark):
-    return sum(fleet.report(i).runs.get(mark, 0) for i in range(len(fleet.targets)))
+    return sum(fleet.target_report(i).runs.get(mark, 0) for i in range(len(fleet.targets)))
 
 
 def test_each_call_gets_its_own_complete_answer(fleet, client):
@@ -64,7 +64,7 @@
 
 def test_lookup_without_an_answer_is_retried_at_another_target(fleet, client, set_target_faults):
     set_target_faults(TargetFaults(drop=1))
-    fleet.set_target(1, TargetFaults())
+    fleet.set_target_faults(1, TargetFaults())
     request = Request(**{**_fields(LOOKUP), "headers": {"X-Mark": "retried"}})
     results = [client.call(request) for _ in range(4)]
     assert {r.outcome for r in results} == {Outcome.ANSWERED}
@@ -139,7 +139,7 @@
         client = CallerClient([box.caller], caller="x")
         late = pool.submit(client.send, LOOKUP, entry, None)
         wait_until(lambda: OperatorClient([box.operator]).status().in_flight, what="the call")
-        box.process.signal(signal.SIGTERM)
+        box.process.send_signal(signal.SIGTERM)
         assert late.result().outcome is Outcome.ANSWERED
     wait_until(lambda: box.process.popen.poll() is not None, what="box-3 has ended")
     assert box.process.popen.returncode == 0
@@ -197,7 +197,7 @@
 
 
 def cancelled(fleet):
-    return sum(fleet.report(i).cancelled for i in range(len(fleet.targets)))
+    return sum(fleet.target_report(i).cancelled for i in range(len(fleet.targets)))
 
 
 def _fields(request):
